--- a/benchmarks/batch_gate.py
+++ b/benchmarks/batch_gate.py
@@ -31,9 +31,9 @@
 from dahliashunt.decisions.gate import IdleCapacity
 from dahliashunt.decisions.gates import GATES
 from dahliashunt.decisions.streams import Occupancy
-from dahliashunt.decisions.tests.engine_play import EngineShape
-from dahliashunt.decisions.tests.engine_play import Mix
-from dahliashunt.decisions.tests.engine_play import Play
+from dahliashunt.decisions.tests.engine_simulation import EngineParameters
+from dahliashunt.decisions.tests.engine_simulation import EngineSimulation
+from dahliashunt.decisions.tests.engine_simulation import RequestMix
 
 LOADS = (0, 10, 30, 50, 70, 90)
 BURSTS = (1, 3, 6)
@@ -43,7 +43,7 @@
 HARM = 1.03
 SHARES = (0.0, 0.015, 0.03, 0.045)
 ADAPTIVE_SHARES = (0.02, 0.03, 0.035, 0.04, 0.045, 0.05)
-SHAPE = EngineShape()
+SHAPE = EngineParameters()
 LOSSLESS = replace(
     SHAPE, move_ms=0.0, resume_recomputes=False, hop_ms=0.0, refill_ms=0.0
 )
@@ -105,7 +105,7 @@
     return tuple(values[int(p * last)] for p in (0.5, 0.95, 0.99))
 
 
-def arrivals(mix: Mix, rate_s: float, until_ms: int, burst: int):
+def arrivals(mix: RequestMix, rate_s: float, until_ms: int, burst: int):
     """Yield online arrivals, with bursts of `burst` times the rate."""
     if not rate_s:
         return
@@ -124,13 +124,13 @@
     rate_s: float,
     burst: int = 1,
     batch: bool = True,
-    shape: EngineShape = SHAPE,
+    shape: EngineParameters = SHAPE,
 ) -> Result:
     """Run one policy on one arrival sequence."""
     agent = AgentDecisions(policy, random.Random(seed))
-    source = Mix(seed + 1000, 500, 200, 480).batch() if batch else None
-    play = Play(agent, shape, source)
-    for arrival in arrivals(Mix(seed), rate_s, until_ms, burst):
+    source = RequestMix(seed + 1000, 500, 200, 480).batch() if batch else None
+    play = EngineSimulation(agent, shape, source)
+    for arrival in arrivals(RequestMix(seed), rate_s, until_ms, burst):
         play.offer_at(*arrival)
     play.run(until_ms)
     seen = play.online()
@@ -306,8 +306,10 @@
             return timed
 
     agent = Timed(THROUGHPUT_FIRST, random.Random(seed))
-    play = Play(agent, SHAPE, Mix(seed + 1000, 500, 200, 480).batch())
-    for arrival in arrivals(Mix(seed), 3.0, 60_000, 6):
+    play = EngineSimulation(
+        agent, SHAPE, RequestMix(seed + 1000, 500, 200, 480).batch()
+    )
+    for arrival in arrivals(RequestMix(seed), 3.0, 60_000, 6):
         play.offer_at(*arrival)
     play.run(60_000)
     print(
--- a/benchmarks/batch_order.py
+++ b/benchmarks/batch_order.py
@@ -19,7 +19,7 @@
 
 from dahliashunt.decisions.batch_order import BATCH_ORDERS
 from dahliashunt.decisions.batch_order import BatchOrderPolicy
-from dahliashunt.decisions.batch_queue import JobShape
+from dahliashunt.decisions.batch_queue import JobDemand
 
 HOUR = 3_600_000
 ROOM = (0, 0, 2, 4, 4, 6)
@@ -33,7 +33,7 @@
     """A job, and when it comes."""
 
     at_ms: int
-    job: JobShape
+    job: JobDemand
 
 
 def arrivals(seed: int, count: int) -> list[Arrival]:
@@ -45,7 +45,7 @@
         items = 1 + int(rng.lognormvariate(5, 1.3))
         at = int(rng.uniform(0, SPAN))
         due = at + int(rng.uniform(1, 8) * HOUR)
-        job = JobShape(f"j{n}", caller, "m", due, items, ITEM_TOKENS)
+        job = JobDemand(f"j{n}", caller, "m", due, items, ITEM_TOKENS)
         found.append(Arrival(at, job))
     return sorted(found, key=lambda arrival: arrival.at_ms)
 
@@ -69,7 +69,7 @@
             if left[grant.job_id] == 0:
                 del left[grant.job_id]
                 finished[grant.job_id] = now
-                order.job_gone(grant.job_id)
+                order.remove_job(grant.job_id)
         now += 1000
     return finished
 
--- a/benchmarks/caps.py
+++ b/benchmarks/caps.py
@@ -1,4 +1,4 @@
-"""Compare the policies of `CAPS` without a network.
+"""Compare the policies of `RATE_LIMIT_POLICIES` without a network.
 
 Usage:
   benchmarks.caps [--seeds=N]
@@ -17,13 +17,15 @@
 
 from docopt import docopt
 
-from dahliashunt.decisions.metered import METERS
-from dahliashunt.decisions.rate_limits import CAPS
+from dahliashunt.decisions.metered import METERS_PER_WORKSPACE
+from dahliashunt.decisions.rate_limits import RATE_LIMIT_POLICIES
 from dahliashunt.decisions.rate_limits import RateLimit
-from dahliashunt.decisions.tests.cap_play import arrivals
-from dahliashunt.decisions.tests.cap_play import CapPlay
-from dahliashunt.decisions.tests.cap_play import lost
-from dahliashunt.decisions.tests.cap_play import overruns
+from dahliashunt.decisions.tests.rate_limit_simulation import arrivals
+from dahliashunt.decisions.tests.rate_limit_simulation import lost
+from dahliashunt.decisions.tests.rate_limit_simulation import overruns
+from dahliashunt.decisions.tests.rate_limit_simulation import (
+    RateLimitSimulation,
+)
 
 BURST_S = 1.0
 ALLOWANCE = 5.0
@@ -51,7 +53,7 @@
     callers, times, fault = LOADS[load]
     limit = RateLimit(rate, BURST_S * rate + ALLOWANCE, 1)
     # Only agents near a workspace's meters matter to it.
-    play = CapPlay(policy, entries, min(meters, 64), limit, seed)
+    play = RateLimitSimulation(policy, entries, min(meters, 64), limit, seed)
     rng = random.Random(seed)
     for at_ms in arrivals(rng, times * rate, 0, SECONDS * 1000):
         number = rng.randrange(min(callers or entries, entries))
@@ -90,7 +92,9 @@
     for at_ms in range(1_000, SECONDS * 1000, 1_000):
         number = rng.randrange(entries)
         play.at(at_ms, lambda n=number: play.kill_entry(n))
-    for place, host in enumerate(play._meters_of(WORKSPACE)[:METERS]):
+    for place, host in enumerate(
+        play._meters_of(WORKSPACE)[:METERS_PER_WORKSPACE]
+    ):
         play.at(4_000 + 5_000 * place, lambda h=host: play.kill_meter(h))
 
 
@@ -100,7 +104,7 @@
     print("| entries | policy | load | lost | over | waited | messages |")
     print("|---|---|---|---|---|---|---|")
     for size in SIZES:
-        for policy in CAPS:
+        for policy in RATE_LIMIT_POLICIES:
             for load in LOADS:
                 rows = [play_one(policy, size, load, s) for s in range(seeds)]
                 lost_, over, waited, messages = zip(*rows, strict=True)
--- a/benchmarks/entry_plays.py
+++ b/benchmarks/entry_plays.py
@@ -3,7 +3,7 @@
 Run ``python benchmarks/entry_plays.py [--seeds N] [PLAY ...]``. Each row is
 one play with one policy: the median of each figure over the seeds, with
 the least and the most. The plays and the fleet's model are those of the
-tests (`dahliashunt.decisions.tests.plays`), on virtual time.
+tests (`dahliashunt.decisions.tests.load_scenarios`), on virtual time.
 """
 
 import argparse
@@ -15,9 +15,9 @@
 
 from dahliashunt.decisions.entry_policy import BASELINE
 from dahliashunt.decisions.entry_policy import EntryPolicy
-from dahliashunt.decisions.tests import plays
-from dahliashunt.decisions.tests.play import impatient
-from dahliashunt.decisions.tests.play import obedient
+from dahliashunt.decisions.tests import load_scenarios
+from dahliashunt.decisions.tests.fleet_simulation import honour_retry_after
+from dahliashunt.decisions.tests.fleet_simulation import retry_after_50_ms
 
 POLICY = EntryPolicy()
 NO_SHARES = replace(POLICY, order="fcfs", over_share=float("inf"))
@@ -38,44 +38,59 @@
 ALWAYS = {"default": POLICY, "baseline": BASELINE}
 
 PLAYS: dict[str, tuple[Callable, dict[str, EntryPolicy]]] = {
-    "saturation-1x": (partial(plays.saturation, times=1), QUEUEING | LIMITS),
-    "saturation-2x": (partial(plays.saturation, times=2), QUEUEING | LIMITS),
-    "saturation-5x": (partial(plays.saturation, times=5), QUEUEING | LIMITS),
+    "saturation-1x": (
+        partial(load_scenarios.saturation, times=1),
+        QUEUEING | LIMITS,
+    ),
+    "saturation-2x": (
+        partial(load_scenarios.saturation, times=2),
+        QUEUEING | LIMITS,
+    ),
+    "saturation-5x": (
+        partial(load_scenarios.saturation, times=5),
+        QUEUEING | LIMITS,
+    ),
     "saturation-5x-3-entries": (
-        partial(plays.saturation, times=5, entries=3),
+        partial(load_scenarios.saturation, times=5, entries=3),
         QUEUEING | LIMITS,
     ),
     "burst": (
-        plays.burst,
+        load_scenarios.burst,
         QUEUEING | LIMITS | changed("pending_target_ms", 10**9),
     ),
-    "burst-impatient": (partial(plays.burst, resend=impatient), {}),
-    "burst-obedient": (partial(plays.burst, resend=obedient), {}),
+    "burst-impatient": (
+        partial(load_scenarios.burst, resend=retry_after_50_ms),
+        {},
+    ),
+    "burst-obedient": (
+        partial(load_scenarios.burst, resend=honour_retry_after),
+        {},
+    ),
     "hot-callers": (
-        plays.hot_callers,
+        load_scenarios.hot_callers,
         {"no shares": NO_SHARES}
         | changed("over_share", float("inf"))
         | changed("order", "fcfs"),
     ),
     "hot-and-long": (
-        plays.hot_and_long,
+        load_scenarios.hot_and_long,
         changed("over_share", float("inf")),
     ),
     "hot-and-long-3-entries": (
-        partial(plays.hot_and_long, entries=3),
+        partial(load_scenarios.hot_and_long, entries=3),
         changed("over_share", float("inf")),
     ),
     "hot-and-long-few-small": (
-        partial(plays.hot_and_long, small=5),
+        partial(load_scenarios.hot_and_long, small=5),
         changed("over_share", float("inf")),
     ),
     "long-among-short": (
-        plays.long_among_short,
+        load_scenarios.long_among_short,
         {"no shares": NO_SHARES} | changed("over_share", float("inf")),
     ),
     "long-prompts": (
         partial(
-            plays.one_kind,
+            load_scenarios.one_kind,
             rate=4,
             prompt=6_000,
             output=800,
@@ -88,27 +103,36 @@
             )
         },
     ),
-    "cold-start": (plays.cold_start, {}),
-    "slow-endpoint": (plays.slow_endpoint, ROUTING | LIMITS),
+    "cold-start": (load_scenarios.cold_start, {}),
+    "slow-endpoint": (load_scenarios.slow_endpoint, ROUTING | LIMITS),
     "failing-endpoint": (
-        plays.failing_endpoint,
+        load_scenarios.failing_endpoint,
         changed("eject_part", 0.0) | changed("retry_ratio", 1.0),
     ),
-    "lost-data-centre": (plays.lost_data_centre, LIMITS),
-    "reports-all": (partial(plays.stale_reports, missing=()), ROUTING),
+    "lost-data-centre": (load_scenarios.lost_data_centre, LIMITS),
+    "reports-all": (
+        partial(load_scenarios.stale_reports, missing=()),
+        ROUTING,
+    ),
     "reports-one-missing": (
-        partial(plays.stale_reports, missing=(0,)),
+        partial(load_scenarios.stale_reports, missing=(0,)),
         ROUTING,
     ),
     "reports-none": (
-        partial(plays.stale_reports, missing=(0, 1, 2, 3, 4)),
+        partial(load_scenarios.stale_reports, missing=(0, 1, 2, 3, 4)),
         ROUTING,
     ),
-    "prefixes": (partial(plays.prefixes, hot=0.0), ROUTING),
-    "prefixes-saturated": (partial(plays.prefixes, rate=110), ROUTING),
-    "prefixes-hot": (partial(plays.prefixes, hot=0.5), ROUTING),
-    "poison": (plays.poison, {"no suspects": BLIND}),
-    "poison-impatient": (partial(plays.poison, resend=impatient), {}),
+    "prefixes": (partial(load_scenarios.prefixes, hot=0.0), ROUTING),
+    "prefixes-saturated": (
+        partial(load_scenarios.prefixes, rate=110),
+        ROUTING,
+    ),
+    "prefixes-hot": (partial(load_scenarios.prefixes, hot=0.5), ROUTING),
+    "poison": (load_scenarios.poison, {"no suspects": BLIND}),
+    "poison-impatient": (
+        partial(load_scenarios.poison, resend=retry_after_50_ms),
+        {},
+    ),
 }
 
 
--- a/benchmarks/route_list.py
+++ b/benchmarks/route_list.py
@@ -59,7 +59,7 @@
     ]
     clock = SystemClock()
     node = Node(clock, None, Metrics("n"), structlog.get_logger(), None)
-    node.config_heard = clock.now_ms
+    node.config_read_ms = clock.now_ms
     node.adopt(decode_catalog(json.dumps(config_fields(routes))))
     explainer = Explainer(node, None, _NoReplicas())
     page = InspectPage(explainer, RecentLines(), None)
--- a/benchmarks/shared_fleet.py
+++ b/benchmarks/shared_fleet.py
@@ -11,8 +11,8 @@
 import math
 import statistics
 
-from dahliashunt.decisions import slot_keeper
-from dahliashunt.decisions.slot_keeper import RECENT_MS
+from dahliashunt.decisions import slot_allocator
+from dahliashunt.decisions.slot_allocator import BATCH_COOLDOWN_MS
 from dahliashunt.decisions.tests.shared_fleet import EarliestDue
 from dahliashunt.decisions.tests.shared_fleet import Fleet
 from dahliashunt.decisions.tests.shared_fleet import Load
@@ -39,24 +39,24 @@
 }
 
 TRIALS = {
-    "all on": (Switches(), RECENT_MS),
-    "no revokes": (Switches(keeper=NeverRevokes), RECENT_MS),
+    "all on": (Switches(), BATCH_COOLDOWN_MS),
+    "no revokes": (Switches(allocator=NeverRevokes), BATCH_COOLDOWN_MS),
     "no reserve": (Switches(), 0),
     "reserve 400 ms": (Switches(), 400),
-    "no idle first": (Switches(idle_first=False), RECENT_MS),
-    "earliest due": (Switches(order=EarliestDue), RECENT_MS),
-    "no queueing": (Switches(queues=False), RECENT_MS),
+    "no idle first": (Switches(idle_first=False), BATCH_COOLDOWN_MS),
+    "earliest due": (Switches(order=EarliestDue), BATCH_COOLDOWN_MS),
+    "no queueing": (Switches(queues=False), BATCH_COOLDOWN_MS),
 }
 
 
 def play(load: Load, trial: str, seeds: range) -> list[Outcome]:
     """Return the outcomes of one load with one mechanism off."""
     switches, recent_ms = TRIALS[trial]
-    slot_keeper.RECENT_MS = recent_ms
+    slot_allocator.BATCH_COOLDOWN_MS = recent_ms
     try:
         return [Fleet(load, seed, switches).play() for seed in seeds]
     finally:
-        slot_keeper.RECENT_MS = RECENT_MS
+        slot_allocator.BATCH_COOLDOWN_MS = BATCH_COOLDOWN_MS
 
 
 def difference(outcomes, base, name) -> str:
--- a/dahliashunt/adapters/slots/__init__.py
+++ b/dahliashunt/adapters/slots/__init__.py
@@ -1,8 +1,8 @@
 """Datagrams about replicas' slots between entries and agents."""
 
-from dahliashunt.adapters.slots.client import Attempt
+from dahliashunt.adapters.slots.client import SlotAttempt
 from dahliashunt.adapters.slots.client import SlotClient
 from dahliashunt.adapters.slots.datagrams import open_datagrams
 from dahliashunt.adapters.slots.server import SlotServer
 
-__all__ = ["Attempt", "SlotClient", "SlotServer", "open_datagrams"]
+__all__ = ["SlotAttempt", "SlotClient", "SlotServer", "open_datagrams"]
--- a/dahliashunt/adapters/slots/client.py
+++ b/dahliashunt/adapters/slots/client.py
@@ -12,13 +12,13 @@
 from dahliashunt.adapters.wire.gen.link.ttypes import SlotRelease
 from dahliashunt.adapters.wire.gen.link.ttypes import SlotUse
 from dahliashunt.adapters.wire.gen.link.ttypes import SlotVerdict
-from dahliashunt.decisions.meter_messages import Report
-from dahliashunt.decisions.slot_messages import KeeperState
+from dahliashunt.decisions.meter_messages import UsageReport
+from dahliashunt.decisions.slot_messages import AllocatorState
+from dahliashunt.decisions.slot_messages import SlotDecision
 from dahliashunt.decisions.slot_messages import Use
-from dahliashunt.decisions.slot_messages import Verdict
 from dahliashunt.ports import Clock
 
-__all__ = ["Attempt", "Known", "SlotClient"]
+__all__ = ["Known", "SlotAttempt", "SlotClient"]
 
 RESEND_MS = 25
 """An ask without answer is sent again after so long: some ten round trips
@@ -38,10 +38,10 @@
 
 _USE = {Use.ONLINE: SlotUse.ONLINE, Use.BATCH: SlotUse.BATCH}
 _VERDICT = {
-    SlotVerdict.GRANTED: Verdict.GRANTED,
-    SlotVerdict.QUEUED: Verdict.QUEUED,
-    SlotVerdict.FULL: Verdict.FULL,
-    SlotVerdict.AWAY: Verdict.AWAY,
+    SlotVerdict.GRANTED: SlotDecision.GRANTED,
+    SlotVerdict.QUEUED: SlotDecision.QUEUED,
+    SlotVerdict.FULL: SlotDecision.FULL,
+    SlotVerdict.AWAY: SlotDecision.AWAY,
 }
 
 
@@ -49,12 +49,12 @@
 class Known:
     """What an agent last said of its replica, and when."""
 
-    state: KeeperState
+    state: AllocatorState
     at_ms: int
 
 
 @dataclass(frozen=True, slots=True)
-class Attempt:
+class SlotAttempt:
     """What a slot is asked for.
 
     Attributes
@@ -104,7 +104,7 @@
     ----------
     known_by_address : dict
     on_reading : callable
-        Called with an agent's host and each `Reading` of it.
+        Called with an agent's host and each `UsageReading` of it.
     """
 
     def __init__(self, clock: Clock):
@@ -136,8 +136,8 @@
         return self._clock.now_ms() - unanswered.since_ms >= ANSWER_MS
 
     async def ask(
-        self, attempt: Attempt, address, wait_ms: int
-    ) -> Verdict | None:
+        self, attempt: SlotAttempt, address, wait_ms: int
+    ) -> SlotDecision | None:
         """Ask for a slot; return the final verdict, None if no answer.
 
         Waits `wait_ms` at most where the agent queues the ask. After
@@ -145,7 +145,7 @@
 
         Parameters
         ----------
-        attempt : Attempt
+        attempt : SlotAttempt
         address : (str, int)
             Of the agent.
         wait_ms : int
@@ -168,13 +168,13 @@
         try:
             verdict = await self._exchange(asked, frame, wait_ms)
         finally:
-            if verdict is not Verdict.GRANTED:
+            if verdict is not SlotDecision.GRANTED:
                 self.release(attempt_id)
         if verdict is None:
             since_ms = self._clock.now_ms() - ANSWER_MS
             self._unanswered_by_address[address] = _Unanswered(since_ms)
             self.known_by_address.pop(address, None)
-        return Verdict.FULL if verdict is Verdict.QUEUED else verdict
+        return SlotDecision.FULL if verdict is SlotDecision.QUEUED else verdict
 
     async def _exchange(self, asked, frame, wait_ms):
         until_ms = self._clock.now_ms() + wait_ms
@@ -185,7 +185,7 @@
             self._datagrams.send(frame, asked.address)
             sends += 1
             heard = await _within(asked.answer, RESEND_MS)
-            while heard is Verdict.QUEUED:
+            while heard is SlotDecision.QUEUED:
                 verdict = heard
                 left_ms = until_ms - self._clock.now_ms()
                 if left_ms <= 0:
@@ -219,7 +219,7 @@
                 address, _Unanswered(now_ms)
             )
 
-    def tell_use(self, address: tuple[str, int], report: Report) -> None:
+    def tell_use(self, address: tuple[str, int], report: UsageReport) -> None:
         """Send a report of a workspace's use to the agent at `address`."""
         frame = SlotFrame(use_report=encode_report(report))
         self._datagrams.send(frame, address)
@@ -268,7 +268,7 @@
     def _learn(self, state, address):
         if state is None:
             return
-        known = KeeperState(
+        known = AllocatorState(
             slots=state.slots or 0,
             online=state.online or 0,
             batch=state.batch or 0,
--- a/dahliashunt/adapters/slots/datagrams.py
+++ b/dahliashunt/adapters/slots/datagrams.py
@@ -43,7 +43,7 @@
         self._receive(frame, addr)
 
     def error_received(self, exc):
-        """Ignore: no listener there; the asker's time limit decides."""
+        """Ignore: no listener there; the requester's time limit decides."""
 
     def send(self, frame: SlotFrame, address: tuple[str, int]) -> None:
         """Send one datagram."""
--- a/dahliashunt/adapters/slots/server.py
+++ b/dahliashunt/adapters/slots/server.py
@@ -10,11 +10,11 @@
 from dahliashunt.adapters.wire.gen.link.ttypes import SlotUse
 from dahliashunt.adapters.wire.gen.link.ttypes import SlotVerdict
 from dahliashunt.decisions.meter import Meter
-from dahliashunt.decisions.slot_keeper import SlotKeeper
-from dahliashunt.decisions.slot_messages import Answered
-from dahliashunt.decisions.slot_messages import Ask
+from dahliashunt.decisions.slot_allocator import SlotAllocator
+from dahliashunt.decisions.slot_messages import SlotDecision
+from dahliashunt.decisions.slot_messages import SlotReply
+from dahliashunt.decisions.slot_messages import SlotRequest
 from dahliashunt.decisions.slot_messages import Use
-from dahliashunt.decisions.slot_messages import Verdict
 from dahliashunt.metrics import Metrics
 from dahliashunt.ports import Clock
 
@@ -26,34 +26,34 @@
 
 _USE = {SlotUse.ONLINE: Use.ONLINE, SlotUse.BATCH: Use.BATCH}
 _VERDICT = {
-    Verdict.GRANTED: SlotVerdict.GRANTED,
-    Verdict.QUEUED: SlotVerdict.QUEUED,
-    Verdict.FULL: SlotVerdict.FULL,
-    Verdict.AWAY: SlotVerdict.AWAY,
+    SlotDecision.GRANTED: SlotVerdict.GRANTED,
+    SlotDecision.QUEUED: SlotVerdict.QUEUED,
+    SlotDecision.FULL: SlotVerdict.FULL,
+    SlotDecision.AWAY: SlotVerdict.AWAY,
 }
 
 
 class SlotServer:
-    """Serves one `SlotKeeper`, and one `Meter`, over datagrams.
+    """Serves one `SlotAllocator`, and one `Meter`, over datagrams.
 
     Parameters
     ----------
-    keeper : SlotKeeper
+    allocator : SlotAllocator
     clock : Clock
     metrics : Metrics
     log : structlog logger
     """
 
     def __init__(
-        self, keeper: SlotKeeper, clock: Clock, metrics: Metrics, log
+        self, allocator: SlotAllocator, clock: Clock, metrics: Metrics, log
     ):
-        self.keeper = keeper
+        self.allocator = allocator
         self._clock = clock
         self._metrics = metrics
         self._log = log
         self.meter = Meter()
         self._datagrams = None
-        self._heard_ms_by_asker: dict[tuple[str, int], int] = {}
+        self._heard_ms_by_requester: dict[tuple[str, int], int] = {}
         self._last_state = None
         self.instance_id = None
 
@@ -71,40 +71,42 @@
         if self._datagrams is not None:
             self._datagrams.close()
 
-    def _received(self, frame, asker):
+    def _received(self, frame, requester):
         now_ms = self._clock.now_ms()
-        self.meter.heard.note(now_ms, asker)
+        self.meter.heard.note(now_ms, requester)
         if frame.use_report is not None:
-            self._metered(now_ms, frame.use_report, asker)
+            self._metered(now_ms, frame.use_report, requester)
             return
-        self._heard_ms_by_asker[asker] = now_ms
+        self._heard_ms_by_requester[requester] = now_ms
         if frame.ask is not None:
-            self._send_all(self.keeper.ask(_ask(frame.ask, asker), now_ms))
+            self._send_all(
+                self.allocator.ask(_ask(frame.ask, requester), now_ms)
+            )
         elif frame.release is not None:
             attempt_id = frame.release.attempt_id
-            self._send_all(self.keeper.release(attempt_id, now_ms))
+            self._send_all(self.allocator.release(attempt_id, now_ms))
         elif frame.held is not None:
-            self.keeper.renew(frame.held.attempt_ids, asker, now_ms)
+            self.allocator.renew(frame.held.attempt_ids, requester, now_ms)
             # Answered in any case: an entry must tell an agent that has
             # nothing new to say from one that is gone.
-            self._datagrams.send(SlotFrame(state=self._state()), asker)
+            self._datagrams.send(SlotFrame(state=self._state()), requester)
 
-    def _metered(self, now_ms, wire, asker):
-        reading = self.meter.report(now_ms, asker, decode_report(wire))
+    def _metered(self, now_ms, wire, requester):
+        reading = self.meter.report(now_ms, requester, decode_report(wire))
         self._metrics.count("use_reports")
         if wire.wanted and reading.granted < wire.wanted:
             self._metrics.count("use_refused", wire.wanted - reading.granted)
         frame = SlotFrame(use_reading=encode_reading(reading))
-        self._datagrams.send(frame, asker)
+        self._datagrams.send(frame, requester)
 
     def report(self, running: frozenset, waiting: int) -> None:
         """Take over what the replica says, and act on it."""
         now_ms = self._clock.now_ms()
-        self._send_all(self.keeper.report(running, waiting, now_ms))
+        self._send_all(self.allocator.report(running, waiting, now_ms))
 
     def _send_all(self, effects):
         for effect in effects:
-            if isinstance(effect, Answered):
+            if isinstance(effect, SlotReply):
                 self._metrics.count("slot_asks", verdict=effect.verdict.value)
                 answer = SlotAnswer(
                     effect.attempt_id,
@@ -116,10 +118,10 @@
                 self._metrics.count("slots_revoked")
                 self._log.info("slot_revoked", attempt_id=effect.attempt_id)
                 frame = SlotFrame(revoke=SlotRevoke(effect.attempt_id))
-            self._datagrams.send(frame, effect.asker)
+            self._datagrams.send(frame, effect.requester)
 
     def _state(self):
-        state = self.keeper.state()
+        state = self.allocator.state()
         return SlotState(
             slots=state.slots,
             online=state.online,
@@ -137,18 +139,18 @@
             return
         self._last_state = state
         now_ms = self._clock.now_ms()
-        for asker, heard_ms in list(self._heard_ms_by_asker.items()):
+        for requester, heard_ms in list(self._heard_ms_by_requester.items()):
             if now_ms - heard_ms > LISTENER_MS:
-                del self._heard_ms_by_asker[asker]
+                del self._heard_ms_by_requester[requester]
             else:
-                self._datagrams.send(SlotFrame(state=state), asker)
+                self._datagrams.send(SlotFrame(state=state), requester)
 
 
-def _ask(ask, asker):
-    return Ask(
+def _ask(ask, requester):
+    return SlotRequest(
         attempt_id=ask.attempt_id,
         run_id=ask.run_id,
-        asker=asker,
+        requester=requester,
         use=_USE.get(ask.use, Use.ONLINE),
         wait_ms=ask.wait_ms,
         slack_ms=ask.slack_ms,
--- a/dahliashunt/adapters/slots/tests/test_slots.py
+++ b/dahliashunt/adapters/slots/tests/test_slots.py
@@ -6,12 +6,12 @@
 import structlog
 
 from dahliashunt.adapters.clock import SystemClock
-from dahliashunt.adapters.slots import Attempt
+from dahliashunt.adapters.slots import SlotAttempt
 from dahliashunt.adapters.slots import SlotClient
 from dahliashunt.adapters.slots import SlotServer
-from dahliashunt.decisions.slot_keeper import SlotKeeper
+from dahliashunt.decisions.slot_allocator import SlotAllocator
+from dahliashunt.decisions.slot_messages import SlotDecision
 from dahliashunt.decisions.slot_messages import Use
-from dahliashunt.decisions.slot_messages import Verdict
 from dahliashunt.metrics import Metrics
 
 LIMIT_S = 10
@@ -23,7 +23,7 @@
     def __init__(self):
         self.clock = SystemClock()
         self.server = SlotServer(
-            SlotKeeper(slots=2),
+            SlotAllocator(slots=2),
             self.clock,
             Metrics("agent-1"),
             structlog.get_logger(),
@@ -43,7 +43,7 @@
         return client
 
     async def ask(self, client, name, use=Use.ONLINE, wait_ms=0):
-        attempt = Attempt(
+        attempt = SlotAttempt(
             name, name, use, 1000, lambda: self.revoked.append(name)
         )
         return await client.ask(attempt, self.address, wait_ms)
@@ -78,12 +78,12 @@
 def test_entries_share_the_slots(play):
     async def scenario(fleet):
         one, two = await fleet.entry(), await fleet.entry()
-        assert await fleet.ask(one, "a") is Verdict.GRANTED
-        assert await fleet.ask(two, "b") is Verdict.GRANTED
-        assert await fleet.ask(one, "c") is Verdict.FULL
+        assert await fleet.ask(one, "a") is SlotDecision.GRANTED
+        assert await fleet.ask(two, "b") is SlotDecision.GRANTED
+        assert await fleet.ask(one, "c") is SlotDecision.FULL
         two.release("b")
-        await fleet.until(lambda: fleet.server.keeper.state().online == 1)
-        assert await fleet.ask(one, "d") is Verdict.GRANTED
+        await fleet.until(lambda: fleet.server.allocator.state().online == 1)
+        assert await fleet.ask(one, "d") is SlotDecision.GRANTED
 
     play(scenario)
 
@@ -96,9 +96,9 @@
         waiting = asyncio.create_task(
             fleet.ask(entry, "c", wait_ms=LIMIT_S * 1000)
         )
-        await fleet.until(lambda: fleet.server.keeper.state().waiting == 1)
+        await fleet.until(lambda: fleet.server.allocator.state().waiting == 1)
         entry.release("a")
-        assert await waiting is Verdict.GRANTED
+        assert await waiting is SlotDecision.GRANTED
 
     play(scenario)
 
@@ -108,7 +108,7 @@
         one, two = await fleet.entry(), await fleet.entry()
         for name in "ij":
             await fleet.ask(one, name, Use.BATCH)
-        assert await fleet.ask(two, "a") is Verdict.GRANTED
+        assert await fleet.ask(two, "a") is SlotDecision.GRANTED
         await fleet.until(lambda: len(fleet.revoked) == 1)
 
     play(scenario)
@@ -177,7 +177,7 @@
         )
         transport.sendto(b"\x82\xff nonsense")
         entry = await fleet.entry()
-        assert await fleet.ask(entry, "a") is Verdict.GRANTED
+        assert await fleet.ask(entry, "a") is SlotDecision.GRANTED
         transport.close()
 
     play(scenario)
--- a/dahliashunt/adapters/slots/use.py
+++ b/dahliashunt/adapters/slots/use.py
@@ -3,8 +3,8 @@
 from dahliashunt.adapters.wire.gen.link.ttypes import UseLimit
 from dahliashunt.adapters.wire.gen.link.ttypes import UseReading
 from dahliashunt.adapters.wire.gen.link.ttypes import UseReport
-from dahliashunt.decisions.meter_messages import Reading
-from dahliashunt.decisions.meter_messages import Report
+from dahliashunt.decisions.meter_messages import UsageReading
+from dahliashunt.decisions.meter_messages import UsageReport
 from dahliashunt.decisions.rate_limits import RateLimit
 from dahliashunt.ids import Revision
 
@@ -19,7 +19,7 @@
 """Requests a second; waits are divided by it."""
 
 
-def encode_report(report: Report) -> UseReport:
+def encode_report(report: UsageReport) -> UseReport:
     """Return the wire's form of `report`."""
     return UseReport(
         workspace=report.workspace,
@@ -34,9 +34,9 @@
     )
 
 
-def decode_report(wire: UseReport) -> Report:
+def decode_report(wire: UseReport) -> UsageReport:
     """Return the report in `wire`; a field that is missing counts as 0."""
-    return Report(
+    return UsageReport(
         workspace=wire.workspace or 0,
         life=wire.life or 0,
         sequence=wire.sequence or 0,
@@ -47,7 +47,7 @@
     )
 
 
-def encode_reading(reading: Reading) -> UseReading:
+def encode_reading(reading: UsageReading) -> UseReading:
     """Return the wire's form of `reading`."""
     newer = reading.newer
     return UseReading(
@@ -64,9 +64,9 @@
     )
 
 
-def decode_reading(wire: UseReading) -> Reading:
+def decode_reading(wire: UseReading) -> UsageReading:
     """Return the reading in `wire`; a field that is missing counts as 0."""
-    return Reading(
+    return UsageReading(
         workspace=wire.workspace or 0,
         life=wire.life or 0,
         sequence=wire.sequence or 0,
--- a/dahliashunt/agent/attempt.py
+++ b/dahliashunt/agent/attempt.py
@@ -11,9 +11,9 @@
 from dahliashunt.agent.messages import EngineEnd
 from dahliashunt.agent.messages import EngineEnded
 from dahliashunt.agent.runner import Runner
-from dahliashunt.decisions.events import PreemptHow
+from dahliashunt.decisions.events import AttemptRequest
+from dahliashunt.decisions.events import PreemptMode
 from dahliashunt.decisions.events import Priority
-from dahliashunt.decisions.events import Work
 from dahliashunt.errors import ErrorKind
 from dahliashunt.ids import NodeId
 from dahliashunt.online.attempt_log import LoggedAttempt
@@ -43,7 +43,7 @@
 
     Attributes
     ----------
-    preempt : PreemptHow or None
+    preempt : PreemptMode or None
         Why it is STOPPING: to be preempted in this way; None means that
         it is cancelled.
     kv_handle : str or None
@@ -54,7 +54,7 @@
     node_id: NodeId
     state: State = State.WAITING
     runner: Runner | None = None
-    preempt: PreemptHow | None = None
+    preempt: PreemptMode | None = None
     kv_handle: str | None = None
     starts: int = 0
     adopted: bool = False
@@ -72,9 +72,9 @@
     return Priority.ONLINE
 
 
-def work_of(opening: Open, now: int) -> Work:
+def work_of(opening: Open, now: int) -> AttemptRequest:
     """Return what the decisions need to know of an attempt."""
-    return Work(
+    return AttemptRequest(
         attempt_id=opening.attempt_id,
         priority=priority_of(opening),
         caller=opening.caller,
--- a/dahliashunt/agent/core.py
+++ b/dahliashunt/agent/core.py
@@ -27,9 +27,9 @@
 from dahliashunt.agent.runner import Runner
 from dahliashunt.agent.runner import RunnerJob
 from dahliashunt.decisions.events import Preempt
-from dahliashunt.decisions.events import PreemptHow
+from dahliashunt.decisions.events import PreemptMode
+from dahliashunt.decisions.events import RefuseAttempt
 from dahliashunt.decisions.events import Start
-from dahliashunt.decisions.events import TurnAway
 from dahliashunt.errors import ErrorKind
 from dahliashunt.mailbox import Mailbox
 from dahliashunt.online.attempt_log import AttemptLog
@@ -322,7 +322,7 @@
             waits = attempt.state is State.WAITING
             if isinstance(decision, Start) and waits:
                 self._start(attempt)
-            elif isinstance(decision, TurnAway) and waits:
+            elif isinstance(decision, RefuseAttempt) and waits:
                 self._turn_away(attempt, decision)
             elif isinstance(decision, Preempt):
                 self._preempt(attempt, decision)
@@ -377,7 +377,7 @@
             return
         attempt.state = State.STOPPING
         attempt.preempt = decision.how
-        if decision.how is PreemptHow.EXPORT_KV:
+        if decision.how is PreemptMode.EXPORT_KV:
             attempt.runner.export()
         else:
             attempt.runner.cancel()
@@ -436,7 +436,7 @@
         if message.end is EngineEnd.EXPORTED:
             attempt.kv_handle = message.kv_handle
         else:
-            how = PreemptHow.RESTART
+            how = PreemptMode.RESTART
             attempt.kv_handle = None
             done_tokens = 0
         attempt.state = State.WAITING
--- a/dahliashunt/batch/__init__.py
+++ b/dahliashunt/batch/__init__.py
@@ -13,8 +13,8 @@
 from dahliashunt.batch.job import JobRecord
 from dahliashunt.batch.job import JobState
 from dahliashunt.batch.order_port import Grant
+from dahliashunt.batch.order_port import JobDemand
 from dahliashunt.batch.order_port import JobOrder
-from dahliashunt.batch.order_port import JobShape
 from dahliashunt.batch.policy import BatchPolicy
 from dahliashunt.batch.results import ResultKind
 from dahliashunt.batch.service import BatchService
@@ -31,9 +31,9 @@
     "ItemRef",
     "ItemRunner",
     "JobCounts",
+    "JobDemand",
     "JobOrder",
     "JobRecord",
-    "JobShape",
     "JobState",
     "JobView",
     "NewJob",
--- a/dahliashunt/batch/order_port.py
+++ b/dahliashunt/batch/order_port.py
@@ -8,11 +8,11 @@
 from dahliashunt.ids import JobId
 from dahliashunt.ids import ModelId
 
-__all__ = ["Grant", "JobOrder", "JobShape"]
+__all__ = ["Grant", "JobDemand", "JobOrder"]
 
 
 @dataclass(frozen=True, slots=True)
-class JobShape:
+class JobDemand:
     """What the order needs to know of a job.
 
     Attributes
@@ -41,10 +41,10 @@
 class JobOrder(Protocol):
     """Chooses whose items start when there is room."""
 
-    def job(self, now: int, shape: JobShape) -> None:
+    def job(self, now: int, shape: JobDemand) -> None:
         """Take note of a job, or of how it has changed."""
 
-    def job_gone(self, job_id: JobId) -> None:
+    def remove_job(self, job_id: JobId) -> None:
         """Forget a job."""
 
     def choose(
--- a/dahliashunt/batch/starter.py
+++ b/dahliashunt/batch/starter.py
@@ -5,8 +5,8 @@
 
 from dahliashunt.batch.items import ItemRunner
 from dahliashunt.batch.order_port import Grant
+from dahliashunt.batch.order_port import JobDemand
 from dahliashunt.batch.order_port import JobOrder
-from dahliashunt.batch.order_port import JobShape
 from dahliashunt.batch.policy import BatchPolicy
 from dahliashunt.batch.slots import Slot
 from dahliashunt.batch.slots import Slots
@@ -70,7 +70,7 @@
             if slots:
                 self._order.job(now, self._shape(slots, now))
             else:
-                self._order.job_gone(job_id)
+                self._order.remove_job(job_id)
         self._dirty.clear()
 
     def start(self) -> None:
@@ -121,7 +121,7 @@
 
     def _shape(self, slots, now):
         job = slots[0].work.job
-        return JobShape(
+        return JobDemand(
             job.job_id,
             job.caller,
             job.model,
--- a/dahliashunt/batch/tests/conftest.py
+++ b/dahliashunt/batch/tests/conftest.py
@@ -171,7 +171,7 @@
     def job(self, now, shape):
         self.shape_by_job[shape.job_id] = shape
 
-    def job_gone(self, job_id):
+    def remove_job(self, job_id):
         self.shape_by_job.pop(job_id, None)
 
     def choose(self, now, room_by_model):
--- a/dahliashunt/decisions/__init__.py
+++ b/dahliashunt/decisions/__init__.py
@@ -7,7 +7,7 @@
     "AgentPolicy": "agent_policy",
     "BatchOrder": "batch_order",
     "BatchOrderPolicy": "batch_order",
-    "BatchPlaces": "batch_places",
+    "BatchPlacement": "batch_placement",
     "BatchSuspects": "batch_suspects",
     "EntryDecisions": "entry",
     "EntryPolicy": "entry_policy",
--- a/dahliashunt/decisions/agent.py
+++ b/dahliashunt/decisions/agent.py
@@ -15,16 +15,16 @@
 from dahliashunt.decisions.agent_decider import Decider
 from dahliashunt.decisions.agent_decider import Decision
 from dahliashunt.decisions.agent_policy import AgentPolicy
-from dahliashunt.decisions.drain import Drain
-from dahliashunt.decisions.events import PreemptHow
-from dahliashunt.decisions.events import TurnAway
-from dahliashunt.decisions.events import Work
+from dahliashunt.decisions.events import AttemptRequest
+from dahliashunt.decisions.events import PreemptMode
+from dahliashunt.decisions.events import RefuseAttempt
 from dahliashunt.decisions.gates import GATES
 from dahliashunt.decisions.running import Running
 from dahliashunt.decisions.step_model import StepModel
 from dahliashunt.decisions.streams import Stream
 from dahliashunt.decisions.streams import StreamState
 from dahliashunt.decisions.tail import TailBound
+from dahliashunt.decisions.wait_estimator import WaitEstimator
 from dahliashunt.errors import ErrorKind
 from dahliashunt.ids import AttemptId
 from dahliashunt.ports.engine import EngineLoad
@@ -66,7 +66,8 @@
     --------
     >>> from dahliashunt.decisions.events import Priority
     >>> agent = AgentDecisions(AgentPolicy(), random.Random(1))
-    >>> agent.offer(0, Work("a", Priority.ONLINE, "c", 100, 50, 700, True))
+    >>> work = AttemptRequest("a", Priority.ONLINE, "c", 100, 50, 700, True)
+    >>> agent.offer(0, work)
     [Start(attempt_id='a', how=None)]
     """
 
@@ -75,17 +76,17 @@
         self.model = StepModel()
         tail = TailBound(policy, self.model)
         self._gate = GATES.get(policy.gate)(policy, self.model, tail)
-        self._drain = Drain(rng, policy.max_retry_after_ms)
+        self._wait_estimator = WaitEstimator(rng, policy.max_retry_after_ms)
         self._running = Running(policy, self.model, tail)
         self._decider = Decider(
-            policy, self.model, self._gate, self._running, self._drain
+            policy, self.model, self._gate, self._running, self._wait_estimator
         )
         self._waiting = self._decider.waiting
         self._by_id = self._decider.by_id
         self._leaving = False
         self._item_tokens = _ITEM_PRIOR_TOKENS
 
-    def offer(self, now: int, work: Work) -> list[Decision]:
+    def offer(self, now: int, work: AttemptRequest) -> list[Decision]:
         """Take in an attempt; it starts, is turned away, or waits.
 
         One that is known already is ignored: a link that was replaced
@@ -95,7 +96,7 @@
             return []
         if self._leaving:
             kind = ErrorKind.LEAVING
-            return [TurnAway(work.attempt_id, kind, _LEAVING_RETRY_MS)]
+            return [RefuseAttempt(work.attempt_id, kind, _LEAVING_RETRY_MS)]
         stream = Stream(work, done=work.done_tokens)
         stream.prefill = work.prompt_tokens
         self._by_id[work.attempt_id] = stream
@@ -110,7 +111,7 @@
         if stream is None or stream.state is StreamState.WAITING:
             return []
         if stream.online:
-            self._drain.produced(count)
+            self._wait_estimator.tokens_generated(count)
         if self._running.progress(now, stream, count):
             return self._decide(now)
         return []
@@ -133,8 +134,8 @@
             self._waiting.drop(stream)
             return self._decide(now)
         if stream.online:
-            self._drain.answered()
-            self._gate.answer_tokens = self._drain.answer_tokens
+            self._wait_estimator.answer_ended()
+            self._gate.answer_tokens = self._wait_estimator.answer_tokens
         else:
             error = stream.kv_tokens - self._item_tokens
             self._item_tokens += _ITEM_WEIGHT * error
@@ -145,7 +146,7 @@
         self,
         now: int,
         attempt_id: AttemptId,
-        how: PreemptHow,
+        how: PreemptMode,
         done_tokens: int,
     ) -> list[Decision]:
         """Put a stopped stream back in front of the waiting batch."""
@@ -158,7 +159,7 @@
         stream.state = StreamState.WAITING
         stream.stopping = None
         stream.how = how
-        stream.done = 0 if how is PreemptHow.RESTART else done_tokens
+        stream.done = 0 if how is PreemptMode.RESTART else done_tokens
         stream.ran_tokens = 0
         stream.preemptions += 1
         if self._leaving:
--- a/dahliashunt/decisions/agent_decider.py
+++ b/dahliashunt/decisions/agent_decider.py
@@ -17,23 +17,23 @@
 
 from dahliashunt.decisions.agent_policy import AgentPolicy
 from dahliashunt.decisions.agent_waiting import Waiting
-from dahliashunt.decisions.drain import Drain
 from dahliashunt.decisions.events import Preempt
+from dahliashunt.decisions.events import RefuseAttempt
 from dahliashunt.decisions.events import Start
-from dahliashunt.decisions.events import TurnAway
 from dahliashunt.decisions.gate import IdleCapacity
 from dahliashunt.decisions.gate import Shortfall
 from dahliashunt.decisions.preemption import resume_prefill
 from dahliashunt.decisions.running import Running
 from dahliashunt.decisions.step_model import StepModel
 from dahliashunt.decisions.streams import Stream
+from dahliashunt.decisions.wait_estimator import WaitEstimator
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import Ran
 from dahliashunt.ids import AttemptId
 
 __all__ = ["Decider", "Decision"]
 
-Decision = Start | TurnAway | Preempt
+Decision = Start | RefuseAttempt | Preempt
 """What the agent process carries out."""
 
 
@@ -48,7 +48,7 @@
         Streams in the engine.
     waiting : Waiting
         Streams that are not.
-    drain : Drain
+    drain : WaitEstimator
         When a waiting stream would start.
     by_id : dict of AttemptId to Stream
         All of them.
@@ -60,7 +60,7 @@
         model: StepModel,
         gate: IdleCapacity,
         running: Running,
-        drain: Drain,
+        drain: WaitEstimator,
     ):
         self._policy = policy
         self._model = model
@@ -137,7 +137,7 @@
                 break
             place += 1
 
-    def _refuse_long(self, now: int) -> list[TurnAway]:
+    def _refuse_long(self, now: int) -> list[RefuseAttempt]:
         """Refuse long prompts that would fill the places held for batch.
 
         Beside steady online work some never find room; all places held by
@@ -228,9 +228,9 @@
 
     def turn_away(
         self, stream: Stream, kind: ErrorKind, after_ms: int
-    ) -> TurnAway:
+    ) -> RefuseAttempt:
         """Return the refusal of a waiting stream, which is forgotten."""
         del self.by_id[stream.work.attempt_id]
         # A preempted stream had begun, so it may not be called "not run".
         ran = Ran.YES if stream.preemptions else Ran.NO
-        return TurnAway(stream.work.attempt_id, kind, after_ms, ran)
+        return RefuseAttempt(stream.work.attempt_id, kind, after_ms, ran)
--- a/dahliashunt/decisions/attempt_ends.py
+++ b/dahliashunt/decisions/attempt_ends.py
@@ -6,8 +6,8 @@
 from dahliashunt.decisions.endpoint import EndpointState
 from dahliashunt.decisions.entry_state import EntryState
 from dahliashunt.decisions.events import AttemptEnd
-from dahliashunt.decisions.events import GiveUp
-from dahliashunt.decisions.events import Loss
+from dahliashunt.decisions.events import FailRequest
+from dahliashunt.decisions.events import LossReason
 from dahliashunt.decisions.tracked import Tracked
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import Ran
@@ -139,7 +139,7 @@
         tracked: Tracked,
         end: AttemptEnd,
         retry_after_ms: int | None,
-    ) -> GiveUp:
+    ) -> FailRequest:
         if tracked.ran is not Ran.NO and not tracked.request.may_repeat:
             return self._dispatcher.give_up(
                 tracked, ErrorKind.OUTCOME_UNKNOWN, None
@@ -181,7 +181,7 @@
         # the link just breaks. Two such losses make a suspect.
         endpoint = tracked.endpoint
         fingerprint = tracked.request.fingerprint
-        leaving = endpoint.loss is Loss.LEAVING
+        leaving = endpoint.loss is LossReason.LEAVING
         if leaving or fingerprint in endpoint.blamed:
             return []
         endpoint.blamed.add(fingerprint)
--- a/dahliashunt/decisions/batch_order.py
+++ b/dahliashunt/decisions/batch_order.py
@@ -36,7 +36,7 @@
 from dataclasses import dataclass
 import random
 
-from dahliashunt.decisions.batch_queue import JobShape
+from dahliashunt.decisions.batch_queue import JobDemand
 from dahliashunt.decisions.batch_queue import ModelQueue
 from dahliashunt.decisions.registry import Registry
 from dahliashunt.ids import JobId
@@ -159,8 +159,8 @@
     --------
     >>> order = BatchOrder(BatchOrderPolicy(), random.Random(1))
     >>> hour = 3_600_000
-    >>> order.job(0, JobShape("late", "museum", "m", 9 * hour, 100, 500))
-    >>> order.job(0, JobShape("soon", "museum", "m", 2 * hour, 100, 500))
+    >>> order.job(0, JobDemand("late", "museum", "m", 9 * hour, 100, 500))
+    >>> order.job(0, JobDemand("soon", "museum", "m", 2 * hour, 100, 500))
     >>> order.choose(0, {"m": 3})
     [Grant(job_id='soon', items=3)]
     """
@@ -170,11 +170,11 @@
         self._queues_by_model: dict[ModelId, ModelQueue] = {}
         self._model_by_job: dict[JobId, ModelId] = {}
 
-    def job(self, now: int, job: JobShape) -> None:
+    def job(self, now: int, job: JobDemand) -> None:
         """Take in a job, or what is left of it."""
         known = self._model_by_job.get(job.job_id)
         if known is not None and known != job.model:
-            self.job_gone(job.job_id)
+            self.remove_job(job.job_id)
         self._model_by_job[job.job_id] = job.model
         queue = self._queues_by_model.get(job.model)
         if queue is None:
@@ -186,7 +186,7 @@
             self._queues_by_model[job.model] = queue
         queue.put(job)
 
-    def job_gone(self, job_id: JobId) -> None:
+    def remove_job(self, job_id: JobId) -> None:
         """Forget a job that ended or was cancelled."""
         model = self._model_by_job.pop(job_id, None)
         if model is not None:
@@ -235,12 +235,12 @@
         self._left_by_id: dict[JobId, int] = {}
         self._model_by_id: dict[JobId, ModelId] = {}
 
-    def job(self, now: int, job: JobShape) -> None:
+    def job(self, now: int, job: JobDemand) -> None:
         """Take in a job, or what is left of it."""
         self._left_by_id[job.job_id] = job.items_left
         self._model_by_id[job.job_id] = job.model
 
-    def job_gone(self, job_id: JobId) -> None:
+    def remove_job(self, job_id: JobId) -> None:
         """Forget a job that ended or was cancelled."""
         self._left_by_id.pop(job_id, None)
         self._model_by_id.pop(job_id, None)
--- a/dahliashunt/decisions/batch_places.py
+++ b/dahliashunt/decisions/batch_placement.py
@@ -13,7 +13,7 @@
 from dahliashunt.ids import EndpointId
 from dahliashunt.ids import ModelId
 
-__all__ = ["BatchPlaces"]
+__all__ = ["BatchPlacement"]
 
 
 @dataclass(slots=True)
@@ -28,12 +28,12 @@
         return self.room - self.sent
 
 
-class BatchPlaces:
+class BatchPlacement:
     """Room for batch items by endpoint.
 
     Examples
     --------
-    >>> places = BatchPlaces()
+    >>> places = BatchPlacement()
     >>> places.room_by_model()
     {}
     """
--- a/dahliashunt/decisions/batch_queue.py
+++ b/dahliashunt/decisions/batch_queue.py
@@ -13,7 +13,7 @@
 from dahliashunt.ids import JobId
 from dahliashunt.ids import ModelId
 
-__all__ = ["JobShape", "ModelQueue"]
+__all__ = ["JobDemand", "ModelQueue"]
 
 # The rate of a model is averaged over about a minute: longer than a burst
 # of online work, shorter than the time in which laxity matters.
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobShape:
+class JobDemand:
     """What the order has to know of a job.
 
     Attributes
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class _Job:
-    shape: JobShape
+    shape: JobDemand
     left: int
     version: int
     served: float = 0.0
@@ -96,7 +96,7 @@
     def __bool__(self) -> bool:
         return bool(self._jobs_by_id)
 
-    def put(self, shape: JobShape) -> None:
+    def put(self, shape: JobDemand) -> None:
         """Add a job, or set what is left of it."""
         known = self._jobs_by_id.get(shape.job_id)
         if known and known.shape == shape and known.left == shape.items_left:
--- a/dahliashunt/decisions/batch_suspects.py
+++ b/dahliashunt/decisions/batch_suspects.py
@@ -17,15 +17,15 @@
 from dahliashunt.decisions.suspects import Suspects
 from dahliashunt.ids import Fingerprint
 
-__all__ = ["BatchSuspects", "RunHow"]
+__all__ = ["BatchSuspects", "RunMode"]
 
 
-class RunHow(enum.Enum):
+class RunMode(enum.Enum):
     """How an item may run."""
 
-    BESIDE_OTHERS = "beside_others"
+    SHARED = "beside_others"
     ALONE = "alone"
-    NOT_AT_ALL = "not_at_all"
+    REFUSED = "not_at_all"
 
 
 class BatchSuspects:
@@ -35,25 +35,25 @@
     --------
     >>> suspects = BatchSuspects(EntryPolicy())
     >>> suspects.how(0, "bad")
-    <RunHow.BESIDE_OTHERS: 'beside_others'>
+    <RunMode.SHARED: 'beside_others'>
     >>> suspects.crashed(1, "bad", alone=False)
     >>> suspects.how(2, "bad")
-    <RunHow.ALONE: 'alone'>
+    <RunMode.ALONE: 'alone'>
     >>> suspects.crashed(3, "bad", alone=True)
     >>> suspects.how(4, "bad")
-    <RunHow.NOT_AT_ALL: 'not_at_all'>
+    <RunMode.REFUSED: 'not_at_all'>
     """
 
     def __init__(self, policy: EntryPolicy):
         self._suspects = Suspects(policy)
 
-    def how(self, now: int, fingerprint: Fingerprint) -> RunHow:
+    def how(self, now: int, fingerprint: Fingerprint) -> RunMode:
         """Return how an item may run."""
         if self._suspects.convicted_until(now, fingerprint) is not None:
-            return RunHow.NOT_AT_ALL
+            return RunMode.REFUSED
         if self._suspects.is_suspect(now, fingerprint):
-            return RunHow.ALONE
-        return RunHow.BESIDE_OTHERS
+            return RunMode.ALONE
+        return RunMode.SHARED
 
     def crashed(self, now: int, fingerprint: Fingerprint, alone: bool) -> None:
         """Note that the endpoint crashed while the item ran."""
--- a/dahliashunt/decisions/caller_wait.py
+++ b/dahliashunt/decisions/caller_wait.py
@@ -23,7 +23,7 @@
 come it is the route's own limit.
 
 What follows from it is decided elsewhere: a request that can't be in time
-any more waits behind those that can (`slot_keeper`), for longer.
+any more waits behind those that can (`slot_allocator`), for longer.
 
 Complexity: linear in the callers that are remembered, which are few.
 """
--- a/dahliashunt/decisions/dispatcher.py
+++ b/dahliashunt/decisions/dispatcher.py
@@ -3,7 +3,7 @@
 from dahliashunt.decisions.endpoint import Endpoint
 from dahliashunt.decisions.entry_state import EntryState
 from dahliashunt.decisions.events import Dispatch
-from dahliashunt.decisions.events import GiveUp
+from dahliashunt.decisions.events import FailRequest
 from dahliashunt.decisions.events import OnlineRequest
 from dahliashunt.decisions.fleet import OVERHEAD_TOKENS
 from dahliashunt.decisions.model_state import ModelState
@@ -18,7 +18,7 @@
 
 __all__ = ["Decision", "Dispatcher"]
 
-Decision = Dispatch | GiveUp
+Decision = Dispatch | FailRequest
 
 _LOOK_AHEAD = 8
 """Waiting requests looked at for one that fits what came free."""
@@ -95,7 +95,7 @@
         queue.push(tracked.waiting)
         return out
 
-    def turn_away(self, now: int, tracked: Tracked) -> GiveUp:
+    def turn_away(self, now: int, tracked: Tracked) -> FailRequest:
         """Refuse for load, with the time of a useful resend."""
         state = self._state.model(tracked.request.model)
         excess = 0.0
@@ -108,11 +108,11 @@
 
     def give_up(
         self, tracked: Tracked, kind: ErrorKind, after: int | None
-    ) -> GiveUp:
+    ) -> FailRequest:
         """Give the final answer."""
         self.drop(tracked)
         self._state.refused_by_kind[kind] += 1
-        return GiveUp(
+        return FailRequest(
             tracked.request.request_id,
             kind,
             tracked.ran,
--- a/dahliashunt/decisions/endpoint.py
+++ b/dahliashunt/decisions/endpoint.py
@@ -4,7 +4,7 @@
 from dataclasses import field
 import enum
 
-from dahliashunt.decisions.events import Loss
+from dahliashunt.decisions.events import LossReason
 from dahliashunt.ids import DataCentreId
 from dahliashunt.ids import EndpointId
 from dahliashunt.ids import Fingerprint
@@ -76,7 +76,7 @@
     ms_per_token: float = 0.0
     pending_tokens: float = 0.0
     gone_ms: int = 0
-    loss: Loss | None = None
+    loss: LossReason | None = None
     blamed: set[Fingerprint] = field(default_factory=set)
 
     @property
--- a/dahliashunt/decisions/entry.py
+++ b/dahliashunt/decisions/entry.py
@@ -30,8 +30,8 @@
 from dahliashunt.decisions.events import CallerLimits
 from dahliashunt.decisions.events import EndpointInfo
 from dahliashunt.decisions.events import EndpointReport
-from dahliashunt.decisions.events import GiveUp
-from dahliashunt.decisions.events import Loss
+from dahliashunt.decisions.events import FailRequest
+from dahliashunt.decisions.events import LossReason
 from dahliashunt.decisions.events import OnlineRequest
 from dahliashunt.decisions.refusals import MESSAGE_BY_KIND
 from dahliashunt.decisions.suspects import Conviction
@@ -204,7 +204,7 @@
         return self._dispatcher.strand(now) + self._dispatcher.pump_all(now)
 
     def endpoint_gone(
-        self, now: int, endpoint_id: EndpointId, loss: Loss
+        self, now: int, endpoint_id: EndpointId, loss: LossReason
     ) -> list[Decision]:
         """Stop using an endpoint; what is in flight there ends by itself."""
         self._now = now
@@ -247,7 +247,9 @@
             if not len(state.queue):
                 continue
             drain = state.drain()
-            for waiting in state.discipline.hopeless(now, state.queue, drain):
+            for waiting in state.discipline.select_rejected(
+                now, state.queue, drain
+            ):
                 tracked = self._state.tracked_by_id[waiting.request_id]
                 out.append(self._dispatcher.turn_away(now, tracked))
         for tracked in self._state.lane.overdue(
@@ -290,7 +292,7 @@
 
     def _refuse_at_once(
         self, now: int, request: OnlineRequest
-    ) -> GiveUp | None:
+    ) -> FailRequest | None:
         fingerprint = request.fingerprint
         if self._state.suspects.convicted_until(now, fingerprint) is not None:
             return self._refuse(request, ErrorKind.CONVICTED, None)
@@ -308,8 +310,8 @@
 
     def _refuse(
         self, request: OnlineRequest, kind: ErrorKind, after: int | None
-    ) -> GiveUp:
+    ) -> FailRequest:
         self._state.refused_by_kind[kind] += 1
-        return GiveUp(
+        return FailRequest(
             request.request_id, kind, Ran.NO, after, MESSAGE_BY_KIND[kind]
         )
--- a/dahliashunt/decisions/entry_state.py
+++ b/dahliashunt/decisions/entry_state.py
@@ -8,8 +8,8 @@
 from dahliashunt.decisions.entry_policy import EntryPolicy
 from dahliashunt.decisions.fair import InFlight
 from dahliashunt.decisions.fleet import Fleet
-from dahliashunt.decisions.limits import Buckets
 from dahliashunt.decisions.limits import LimitsTable
+from dahliashunt.decisions.limits import TokenBuckets
 from dahliashunt.decisions.model_state import ModelState
 from dahliashunt.decisions.prefix import PrefixIndex
 from dahliashunt.decisions.retry import RetryBudget
@@ -69,7 +69,7 @@
         )
         self.router = Router(policy, self.fleet, self.prefixes, rng)
         self.limits = LimitsTable()
-        self.buckets = Buckets()
+        self.buckets = TokenBuckets()
         self.in_flight = InFlight(policy.over_share)
         self.budget = RetryBudget(policy)
         self.suspects = Suspects(policy)
--- a/dahliashunt/decisions/events.py
+++ b/dahliashunt/decisions/events.py
@@ -21,19 +21,19 @@
 
 __all__ = [
     "AttemptEnd",
+    "AttemptRequest",
     "CallerLimits",
     "Dispatch",
     "EndpointInfo",
     "EndpointReport",
-    "GiveUp",
-    "Loss",
+    "FailRequest",
+    "LossReason",
     "OnlineRequest",
     "Preempt",
-    "PreemptHow",
+    "PreemptMode",
     "Priority",
+    "RefuseAttempt",
     "Start",
-    "TurnAway",
-    "Work",
 ]
 
 
@@ -54,7 +54,7 @@
     CRASHED = "crashed"
 
 
-class Loss(enum.Enum):
+class LossReason(enum.Enum):
     """Why an endpoint is not to be used."""
 
     CRASHED = "crashed"
@@ -62,7 +62,7 @@
     LEAVING = "leaving"
 
 
-class PreemptHow(enum.Enum):
+class PreemptMode(enum.Enum):
     """What happens to a batch stream that is stopped."""
 
     RESUME = "resume"
@@ -158,7 +158,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
+class FailRequest:
     """Give the request its final answer now.
 
     `ran` is what can be said of it; `retry_after_ms` is None where a
@@ -173,7 +173,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class AttemptRequest:
     """One attempt that an agent is asked to run."""
 
     attempt_id: AttemptId
@@ -193,11 +193,11 @@
     """Send the attempt to the engine now."""
 
     attempt_id: AttemptId
-    how: PreemptHow | None = None
+    how: PreemptMode | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class TurnAway:
+class RefuseAttempt:
     """Refuse the attempt, now.
 
     `ran` is ``NO`` but for a preempted batch stream, which had begun.
@@ -214,4 +214,4 @@
     """Stop a batch stream in the engine, in the way given."""
 
     attempt_id: AttemptId
-    how: PreemptHow
+    how: PreemptMode
--- a/dahliashunt/decisions/fleet.py
+++ b/dahliashunt/decisions/fleet.py
@@ -25,7 +25,7 @@
 from dahliashunt.decisions.entry_policy import EntryPolicy
 from dahliashunt.decisions.events import EndpointInfo
 from dahliashunt.decisions.events import EndpointReport
-from dahliashunt.decisions.events import Loss
+from dahliashunt.decisions.events import LossReason
 from dahliashunt.decisions.overload import LIMITS
 from dahliashunt.ids import DataCentreId
 from dahliashunt.ids import EndpointId
@@ -84,7 +84,7 @@
         return endpoint
 
     def gone(
-        self, now: int, endpoint_id: EndpointId, loss: Loss
+        self, now: int, endpoint_id: EndpointId, loss: LossReason
     ) -> Endpoint | None:
         """Give an endpoint no more work."""
         endpoint = self.by_id.get(endpoint_id)
@@ -102,7 +102,7 @@
         """Drop an endpoint that is gone and has nothing in flight."""
         if (
             endpoint.state is EndpointState.GONE
-            and endpoint.loss is not Loss.CRASHED
+            and endpoint.loss is not LossReason.CRASHED
             and not endpoint.in_flight
             and self.by_id.get(endpoint.endpoint_id) is endpoint
         ):
@@ -120,7 +120,7 @@
             return False
         at = now - report.age_ms
         if endpoint.state is EndpointState.GONE:
-            back = endpoint.loss is Loss.CRASHED and report.models
+            back = endpoint.loss is LossReason.CRASHED and report.models
             if not back or at <= endpoint.gone_ms:
                 return False
             info = EndpointInfo(
--- a/dahliashunt/decisions/gate.py
+++ b/dahliashunt/decisions/gate.py
@@ -219,7 +219,7 @@
             return
         if not self._stall_within(stream, occupancy):
             self._bulk_ms = now
-            self.tail.exceeds()
+            self.tail.spend_credit()
 
     def usual_prompt_tokens(self) -> float:
         """Return the longest prompt that stalls a step only as usual."""
--- a/dahliashunt/decisions/item_order.py
+++ b/dahliashunt/decisions/item_order.py
@@ -45,7 +45,7 @@
 import heapq
 import itertools
 
-__all__ = ["ItemOrder", "WaitingItem"]
+__all__ = ["ItemQueue", "WaitingItem"]
 
 FIRST_USUAL_MS = 5_000
 """How long an item holds slots, in ms, before any was done here: some 170
@@ -81,12 +81,12 @@
     work: object = None
 
 
-class ItemOrder:
+class ItemQueue:
     """One owner's waiting items, and how long its items usually run.
 
     Examples
     --------
-    >>> order = ItemOrder()
+    >>> order = ItemQueue()
     >>> for due_ms in (9_000, 4_000, 12_000):
     ...     order.put(WaitingItem(due_ms, 0))
     >>> [order.take(0).due_ms for _ in range(3)]
--- a/dahliashunt/decisions/job_expiry.py
+++ b/dahliashunt/decisions/job_expiry.py
@@ -17,13 +17,13 @@
 owner does not. Two that both do so harm nothing.
 """
 
-__all__ = ["MARGIN_MS", "ORPHANED_MS", "may_remove"]
+__all__ = ["ORPHAN_GRACE_MS", "RETENTION_MARGIN_MS", "may_remove"]
 
-MARGIN_MS = 60_000
+RETENTION_MARGIN_MS = 60_000
 """Longer than promised: callers' clocks and the way of their calls, and
 reads that began in time."""
 
-ORPHANED_MS = 60_000
+ORPHAN_GRACE_MS = 60_000
 """So long after that any node removes a job whose last owner did not: it
 was replaced meanwhile. Four looks of the owner fit in."""
 
@@ -47,5 +47,5 @@
     >>> [may_remove(age, 120_000, False) for age in (180_001, 240_001)]
     [False, True]
     """
-    over_ms = age_ms - keep_ms - MARGIN_MS
-    return over_ms > (0 if is_last_owner else ORPHANED_MS)
+    over_ms = age_ms - keep_ms - RETENTION_MARGIN_MS
+    return over_ms > (0 if is_last_owner else ORPHAN_GRACE_MS)
--- a/dahliashunt/decisions/limits.py
+++ b/dahliashunt/decisions/limits.py
@@ -3,7 +3,7 @@
 A hard limit counts plain tokens, of prompt and answer alike.
 
 Load pattern: a caller sends more than it has paid for, with others idle
-or not. `Buckets` says to the millisecond when a refused request would
+or not. `TokenBuckets` says to the millisecond when a refused request would
 pass, so that its resend is not refused again.
 """
 
@@ -13,7 +13,7 @@
 from dahliashunt.decisions.events import CallerLimits
 from dahliashunt.ids import CallerId
 
-__all__ = ["Buckets", "LimitsTable"]
+__all__ = ["LimitsTable", "TokenBuckets"]
 
 _NEVER_MS = 60_000
 """When to ask again for a caller whose limit is 0."""
@@ -70,12 +70,12 @@
         self.at_ms = now
 
 
-class Buckets:
+class TokenBuckets:
     """Token buckets of the callers that have a hard limit.
 
     Examples
     --------
-    >>> buckets = Buckets()
+    >>> buckets = TokenBuckets()
     >>> limits = CallerLimits(tokens_a_second=100, burst_s=1.0)
     >>> buckets.take(0, "a", 60, limits)
     0
--- a/dahliashunt/decisions/loss_counts.py
+++ b/dahliashunt/decisions/loss_counts.py
@@ -64,11 +64,11 @@
     >>> counts = LossCounts()
     >>> [counts.lost("bad", at + 1, at + 2) for at in range(0, 30, 10)]
     [1, 2, 3]
-    >>> counts.is_convicted("bad", 23)
+    >>> counts.is_quarantined("bad", 23)
     True
     >>> counts.served("bad")
     True
-    >>> counts.is_convicted("bad", 23)
+    >>> counts.is_quarantined("bad", 23)
     False
     """
 
@@ -116,7 +116,7 @@
         """Clear `digest`; return whether anything was remembered."""
         return self._count_by.pop(digest, None) is not None
 
-    def is_convicted(self, digest: Fingerprint, now_ms: int) -> bool:
+    def is_quarantined(self, digest: Fingerprint, now_ms: int) -> bool:
         """Tell whether the request is not to be sent now."""
         losses = self.losses(digest, now_ms)
         if losses < MOST_LOSSES:
--- a/dahliashunt/decisions/meter.py
+++ b/dahliashunt/decisions/meter.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-from dahliashunt.decisions.meter_messages import Reading
-from dahliashunt.decisions.meter_messages import Report
+from dahliashunt.decisions.meter_messages import UsageReading
+from dahliashunt.decisions.meter_messages import UsageReport
 from dahliashunt.decisions.rate_limits import forget_old
 from dahliashunt.decisions.rate_limits import KEPT_MS
 from dahliashunt.decisions.rate_limits import Level
@@ -111,11 +111,13 @@
     def __len__(self) -> int:
         return len(self._metered_by_workspace)
 
-    def report(self, now_ms: int, asker, report: Report) -> Reading:
-        """Count a report of `asker`; decide on the request it wants."""
-        self.heard.note(now_ms, asker)
+    def report(
+        self, now_ms: int, requester, report: UsageReport
+    ) -> UsageReading:
+        """Count a report of `requester`; decide on the request it wants."""
+        self.heard.note(now_ms, requester)
         metered = self._metered(now_ms, report)
-        counted = self._counted(now_ms, metered, asker, report)
+        counted = self._counted(now_ms, metered, requester, report)
         granted = 0
         if report.sequence > counted.sequence:
             granted = self._count(now_ms, metered, counted, report)
@@ -123,7 +125,7 @@
             # A doubled report gets the answer once more.
             granted = counted.granted
         after_ms = self._turn(now_ms, metered, report.wanted - granted)
-        return Reading(
+        return UsageReading(
             workspace=report.workspace,
             life=report.life,
             sequence=report.sequence,
@@ -152,8 +154,8 @@
         metered.heard_ms = now_ms
         return metered
 
-    def _counted(self, now_ms, metered, asker, report):
-        key = (asker, report.life)
+    def _counted(self, now_ms, metered, requester, report):
+        key = (requester, report.life)
         counted = metered.counted_by_life.get(key)
         if counted is None:
             forget_old(
--- a/dahliashunt/decisions/meter_messages.py
+++ b/dahliashunt/decisions/meter_messages.py
@@ -4,11 +4,11 @@
 
 from dahliashunt.decisions.rate_limits import RateLimit
 
-__all__ = ["Reading", "Report"]
+__all__ = ["UsageReading", "UsageReport"]
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class UsageReport:
     """An entry tells how many requests of a workspace it let in.
 
     Lost and doubled reports do no harm: each says the whole count.
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class UsageReading:
     """A meter's answer to a report.
 
     Attributes
--- a/dahliashunt/decisions/metered.py
+++ b/dahliashunt/decisions/metered.py
@@ -25,24 +25,24 @@
 from dataclasses import field
 import random
 
-from dahliashunt.decisions.meter_messages import Reading
-from dahliashunt.decisions.meter_messages import Report
-from dahliashunt.decisions.rate_limits import Asked
-from dahliashunt.decisions.rate_limits import CAPS
+from dahliashunt.decisions.meter_messages import UsageReading
+from dahliashunt.decisions.meter_messages import UsageReport
 from dahliashunt.decisions.rate_limits import EqualShare
 from dahliashunt.decisions.rate_limits import forget_old
 from dahliashunt.decisions.rate_limits import KEPT_MS
-from dahliashunt.decisions.rate_limits import MeterView
 from dahliashunt.decisions.rate_limits import MOST_WAIT_MS
 from dahliashunt.decisions.rate_limits import Outcome
+from dahliashunt.decisions.rate_limits import PendingVerdict
+from dahliashunt.decisions.rate_limits import RATE_LIMIT_POLICIES
 from dahliashunt.decisions.rate_limits import RateLimit
+from dahliashunt.decisions.rate_limits import RateLimitVerdict
 from dahliashunt.decisions.rate_limits import Refused
-from dahliashunt.decisions.rate_limits import UseView
-from dahliashunt.decisions.rate_limits import Verdict
+from dahliashunt.decisions.rate_limits import UsageView
+from dahliashunt.decisions.rate_limits import WorkspaceUsage
 
-__all__ = ["ASK_MS", "BATCH_MS", "METERS", "Metered"]
+__all__ = ["ASK_MS", "BATCH_MS", "METERS_PER_WORKSPACE", "Metered"]
 
-METERS = 3
+METERS_PER_WORKSPACE = 3
 """Meters of a workspace: one may be lost, and two that have counted all
 are left."""
 
@@ -162,7 +162,7 @@
         return len(told) > 2 * silent
 
 
-@CAPS.register("metered")
+@RATE_LIMIT_POLICIES.register("metered")
 class Metered:
     """Lets in freely far from the limit, and asks a meter near it.
 
@@ -195,7 +195,7 @@
         self._numbers = 0
         self._untold: dict[int, _Use] = {}
         self._asking: dict[int, _Use] = {}
-        self._out: list[tuple[str, Report]] = []
+        self._out: list[tuple[str, UsageReport]] = []
         self.most_entries = 0
 
     def _known_entries(self):
@@ -212,7 +212,7 @@
         self._share.note(now_ms, workspace, limit)
         self._untold[workspace] = use
         self._tell(now_ms, use)
-        return Verdict.ADMITTED
+        return RateLimitVerdict.ADMITTED
 
     def _is_free(self, now_ms, use):
         """Tell whether one more request is far enough from the limit.
@@ -231,7 +231,7 @@
     def _take_share(self, now_ms, use):
         """Go by the share; the meters are told, should they answer."""
         found = self._share.take(now_ms, use.workspace, use.limit)
-        if found is Verdict.ADMITTED:
+        if found is RateLimitVerdict.ADMITTED:
             use.total += 1
         self._untold[use.workspace] = use
         self._tell(now_ms, use)
@@ -245,13 +245,13 @@
             use.total -= 1
             self._untold[workspace] = use
 
-    def view(self, now_ms: int, workspace: int) -> UseView:
+    def view(self, now_ms: int, workspace: int) -> UsageView:
         """Return a workspace's use; no request is counted by it."""
         use = self._use_by_workspace.get(workspace)
         if use is None or not use.is_metered(now_ms):
             return self._share.view(now_ms, workspace)
         meters = tuple(
-            MeterView(
+            WorkspaceUsage(
                 told.host,
                 told.level,
                 None if told.at_ms is None else now_ms - told.at_ms,
@@ -261,7 +261,7 @@
             for told in use.told_by_host.values()
         )
         entries = max(1, self._known_entries())
-        return UseView(use.level(now_ms), True, entries, meters)
+        return UsageView(use.level(now_ms), True, entries, meters)
 
     def _use(self, now_ms, workspace, limit):
         use = self._use_by_workspace.get(workspace)
@@ -290,7 +290,7 @@
 
     # Messages.
 
-    def outbox(self) -> list[tuple[str, Report]]:
+    def outbox(self) -> list[tuple[str, UsageReport]]:
         """Return the reports to send, each with its meter's host."""
         out, self._out = self._out, []
         return out
@@ -313,7 +313,7 @@
     def _report(self, now_ms, use, told, wanted):
         if told.unanswered_ms is None:
             told.unanswered_ms = now_ms
-        report = Report(
+        report = UsageReport(
             workspace=use.workspace,
             life=use.life,
             sequence=use.sequence,
@@ -329,7 +329,7 @@
         use.queue.append(self._numbers)
         if use.question is None:
             self._ask_for_queue(now_ms, use)
-        return Asked(self._numbers)
+        return PendingVerdict(self._numbers)
 
     def _ask_for_queue(self, now_ms, use):
         told = use.told_by_host.values()
@@ -353,7 +353,9 @@
                 return True
         return False
 
-    def heard(self, now_ms: int, host: str, reading: Reading) -> list[Outcome]:
+    def heard(
+        self, now_ms: int, host: str, reading: UsageReading
+    ) -> list[Outcome]:
         """Take over a meter's reading; return what it decides."""
         use = self._use_by_workspace.get(reading.workspace)
         if use is None or use.life != reading.life:
@@ -381,7 +383,9 @@
         for _ in granted:
             self._share.note(now_ms, use.workspace, use.limit)
         gap_ms = 1000 / use.limit.rate
-        outcomes = [Outcome(number, Verdict.ADMITTED) for number in granted]
+        outcomes = [
+            Outcome(number, RateLimitVerdict.ADMITTED) for number in granted
+        ]
         outcomes += [
             Outcome(number, Refused(_turn_ms(reading, place * gap_ms)))
             for place, number in enumerate(refused)
@@ -417,13 +421,13 @@
         outcomes = []
         for number in use.question.numbers:
             found = self._share.take(now_ms, use.workspace, use.limit)
-            use.total += found is Verdict.ADMITTED
+            use.total += found is RateLimitVerdict.ADMITTED
             outcomes.append(Outcome(number, found))
         self._closed(now_ms, use)
         return outcomes
 
     @property
-    def is_waiting(self) -> bool:
+    def needs_tick(self) -> bool:
         """Whether `tick` is wanted."""
         return bool(self._asking or self._untold)
 
--- a/dahliashunt/decisions/model_state.py
+++ b/dahliashunt/decisions/model_state.py
@@ -6,7 +6,7 @@
 from dahliashunt.decisions.fair import ORDERS
 from dahliashunt.decisions.fleet import OVERHEAD_TOKENS
 from dahliashunt.decisions.queueing import DISCIPLINES
-from dahliashunt.decisions.queueing import Drain
+from dahliashunt.decisions.queueing import DrainRate
 from dahliashunt.decisions.queueing import WaitingQueue
 
 __all__ = ["ModelState"]
@@ -49,7 +49,7 @@
         work = prompt_tokens + output_tokens * policy.output_token_weight
         return work + policy.request_tokens
 
-    def drain(self) -> Drain:
+    def drain(self) -> DrainRate:
         """Return how fast the queue moves.
 
         By Little's law the rate is what is in flight over how long it
@@ -57,7 +57,7 @@
         would lag.
         """
         service = self._service_ms or self._policy.default_service_ms
-        return Drain(
+        return DrainRate(
             max(1, self.in_flight) / service,
             self._speed + 2 * self._speed_dev,
         )
@@ -100,7 +100,7 @@
         after the other; jitter breaks up what was refused together.
         """
         policy = self._policy
-        rate = self.drain().per_ms
+        rate = self.drain().requests_per_ms
         drained = (now - self._turned_away_ms) * rate
         self._turned_away = max(0.0, self._turned_away - drained) + 1
         self._turned_away_ms = now
--- a/dahliashunt/decisions/partners.py
+++ b/dahliashunt/decisions/partners.py
@@ -30,18 +30,21 @@
 
 import random
 
-__all__ = ["MOST_PARTNERS", "OUTSIDERS", "draw_outsiders"]
+__all__ = ["MAX_PARTNERS", "NON_PARTNER_SAMPLES", "sample_non_partners"]
 
-MOST_PARTNERS = 24
+MAX_PARTNERS = 24
 """Partners of an entry in one service. At 20 requests a second that hold a
 slot for 0.7 s, an entry uses 14 slots; 24 replicas of 7 have 168."""
 
-OUTSIDERS = 2
+NON_PARTNER_SAMPLES = 2
 """Others asked when every partner asked was full."""
 
 
-def draw_outsiders(
-    replicas: list, partners, rng: random.Random, count: int = OUTSIDERS
+def sample_non_partners(
+    replicas: list,
+    partners,
+    rng: random.Random,
+    count: int = NON_PARTNER_SAMPLES,
 ) -> list:
     """Return up to `count` of `replicas` that are not in `partners`.
 
--- a/dahliashunt/decisions/preemption.py
+++ b/dahliashunt/decisions/preemption.py
@@ -35,7 +35,7 @@
 
 from dahliashunt.decisions.agent_policy import AgentPolicy
 from dahliashunt.decisions.events import Preempt
-from dahliashunt.decisions.events import PreemptHow
+from dahliashunt.decisions.events import PreemptMode
 from dahliashunt.decisions.gate import Shortfall
 from dahliashunt.decisions.step_model import StepModel
 from dahliashunt.decisions.streams import Stream
@@ -45,28 +45,28 @@
 
 def resume_prefill(stream: Stream, policy: AgentPolicy) -> int:
     """Return the tokens that the engine computes at the next start."""
-    if stream.how is PreemptHow.EXPORT_KV:
+    if stream.how is PreemptMode.EXPORT_KV:
         return 0
-    if stream.how is PreemptHow.RESUME:
+    if stream.how is PreemptMode.RESUME:
         return stream.kv_tokens if policy.resume_recomputes else 0
     return stream.work.prompt_tokens
 
 
 def cheapest_stop(
     stream: Stream, policy: AgentPolicy, model: StepModel
-) -> tuple[float, PreemptHow]:
+) -> tuple[float, PreemptMode]:
     """Return the loss in ms of engine time and the way that loses least."""
     per_prefill = model.prefill_ms_per_token
     prompt_ms = stream.work.prompt_tokens * per_prefill
     done_ms = stream.done * model.per_stream_ms
-    ways = [(prompt_ms + done_ms, PreemptHow.RESTART)]
+    ways = [(prompt_ms + done_ms, PreemptMode.RESTART)]
     if policy.engine_resumes:
         again = stream.kv_tokens * per_prefill
         cost = again if policy.resume_recomputes else 0.0
-        ways.append((cost, PreemptHow.RESUME))
+        ways.append((cost, PreemptMode.RESUME))
     if policy.engine_exports_kv and stream.ran_tokens > 0:
         moved = stream.kv_tokens * policy.kv_move_ms_per_1000 / 1000
-        ways.append((moved, PreemptHow.EXPORT_KV))
+        ways.append((moved, PreemptMode.EXPORT_KV))
     return min(ways, key=lambda way: way[0])
 
 
--- a/dahliashunt/decisions/queueing.py
+++ b/dahliashunt/decisions/queueing.py
@@ -48,7 +48,7 @@
 from dahliashunt.decisions.registry import Registry
 from dahliashunt.ids import RequestId
 
-__all__ = ["DISCIPLINES", "Drain", "Waiting", "WaitingQueue"]
+__all__ = ["DISCIPLINES", "DrainRate", "Waiting", "WaitingQueue"]
 
 DISCIPLINES = Registry("queueing discipline")
 
@@ -66,19 +66,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drain:
+class DrainRate:
     """How fast a queue moves.
 
     Attributes
     ----------
-    per_ms : float
+    requests_per_ms : float
         Requests that leave in a millisecond.
     ms_per_token : float
         From dispatch to the first token, with a margin, for one token of
         the prompt.
     """
 
-    per_ms: float
+    requests_per_ms: float
     ms_per_token: float
 
     def wait_ms(self, ahead: int) -> float:
@@ -86,10 +86,10 @@
 
         Examples
         --------
-        >>> Drain(per_ms=0.01, ms_per_token=0.2).wait_ms(4)
+        >>> DrainRate(requests_per_ms=0.01, ms_per_token=0.2).wait_ms(4)
         500.0
         """
-        return (ahead + 1) / self.per_ms
+        return (ahead + 1) / self.requests_per_ms
 
 
 class WaitingQueue:
@@ -155,7 +155,7 @@
         left_ms: int,
         ahead: int,
         prompt_tokens: int,
-        drain: Drain,
+        drain: DrainRate,
     ) -> bool:
         """Tell whether a newcomer with `ahead` before it may wait."""
         return True
@@ -164,8 +164,8 @@
         """Return which one goes next."""
         return 0
 
-    def hopeless(
-        self, now: int, queue: WaitingQueue, drain: Drain
+    def select_rejected(
+        self, now: int, queue: WaitingQueue, drain: DrainRate
     ) -> list[Waiting]:
         """Return those to be turned away now."""
         return [w for w in queue if w.first_token_by_ms <= now]
@@ -191,7 +191,7 @@
         left_ms: int,
         ahead: int,
         prompt_tokens: int,
-        drain: Drain,
+        drain: DrainRate,
     ) -> bool:
         """Tell whether a newcomer with `ahead` before it may wait."""
         policy = self._policy
@@ -206,15 +206,15 @@
             return False
         return True
 
-    def hopeless(
-        self, now: int, queue: WaitingQueue, drain: Drain
+    def select_rejected(
+        self, now: int, queue: WaitingQueue, drain: DrainRate
     ) -> list[Waiting]:
         """Return those whose predicted first token is too late.
 
         One that is dropped lets those behind it move up.
         """
         gone = []
-        step = 1 / drain.per_ms
+        step = 1 / drain.requests_per_ms
         at = float(now)
         for waiting in queue:
             prefill = waiting.prompt_tokens * drain.ms_per_token
@@ -239,13 +239,13 @@
             return 0
         return max(range(len(queue)), key=lambda i: queue[i].seq)
 
-    def hopeless(
-        self, now: int, queue: WaitingQueue, drain: Drain
+    def select_rejected(
+        self, now: int, queue: WaitingQueue, drain: DrainRate
     ) -> list[Waiting]:
         """Return those whose time is over."""
         oldest = min((w.since_ms for w in queue), default=now)
         self._overloaded = now - oldest > self._policy.codel_target_ms
-        return super().hopeless(now, queue, drain)
+        return super().select_rejected(now, queue, drain)
 
 
 @DISCIPLINES.register("codel")
@@ -256,8 +256,8 @@
         super().__init__(policy)
         self._empty_at_ms = 0
 
-    def hopeless(
-        self, now: int, queue: WaitingQueue, drain: Drain
+    def select_rejected(
+        self, now: int, queue: WaitingQueue, drain: DrainRate
     ) -> list[Waiting]:
         """Return those older than the target after a standing queue."""
         interval_ms = self._policy.standing_ms
--- a/dahliashunt/decisions/rate_limits.py
+++ b/dahliashunt/decisions/rate_limits.py
@@ -14,10 +14,10 @@
 
 Policies
 --------
-`CAPS` holds them by name, all with the methods of `EqualShare`. A take is
-answered at once (`ADMITTED`, or a `Refused` with the time to come back), or
-by an `Asked`, whose outcome comes from `heard` or `tick`. Messages to meters
-are collected by `outbox`.
+`RATE_LIMIT_POLICIES` holds them by name, all with the methods of `EqualShare`.
+A take is answered at once (`ADMITTED`, or a `Refused` with the time to come
+back), or by a `PendingVerdict`, whose outcome comes from `heard` or `tick`.
+Messages to meters are collected by `outbox`.
 """
 
 from dataclasses import dataclass
@@ -26,23 +26,23 @@
 from dahliashunt.decisions.registry import Registry
 
 __all__ = [
-    "CAPS",
     "KEPT_MS",
     "MOST_WAIT_MS",
-    "Asked",
+    "RATE_LIMIT_POLICIES",
     "EqualShare",
     "Level",
-    "MeterView",
     "Outcome",
+    "PendingVerdict",
     "RateLimit",
+    "RateLimitVerdict",
     "Refused",
-    "UseView",
-    "Verdict",
+    "UsageView",
+    "WorkspaceUsage",
     "forget_old",
     "wait_ms",
 ]
 
-CAPS = Registry("cap policy")
+RATE_LIMIT_POLICIES = Registry("cap policy")
 
 KEPT_MS = 10_000
 """A workspace without requests for so long is forgotten."""
@@ -54,7 +54,7 @@
 """Longest Retry-After: further ahead nobody knows what will be sent."""
 
 
-class Verdict(enum.Enum):
+class RateLimitVerdict(enum.Enum):
     """What becomes of a request."""
 
     ADMITTED = "admitted"
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class PendingVerdict:
     """The outcome comes later, under this number."""
 
     number: int
@@ -82,10 +82,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of an `Asked`."""
+    """What became of an `PendingVerdict`."""
 
     number: int
-    verdict: Verdict | Refused
+    verdict: RateLimitVerdict | Refused
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,8 +108,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MeterView:
-    """What an entry knows of one meter; see `Reading`."""
+class WorkspaceUsage:
+    """What an entry knows of one meter; see `UsageReading`."""
 
     host: str
     level: float
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UseView:
+class UsageView:
     """A workspace's use as one entry sees it.
 
     Attributes
@@ -130,13 +130,13 @@
         Whether meters decide; else this entry's share does.
     entries : int
         Among which the limit is shared where it is not metered.
-    meters : tuple of MeterView
+    meters : tuple of WorkspaceUsage
     """
 
     level: float
     metered: bool
     entries: int
-    meters: tuple[MeterView, ...] = ()
+    meters: tuple[WorkspaceUsage, ...] = ()
 
 
 class Level:
@@ -204,7 +204,7 @@
     used_ms: int
 
 
-@CAPS.register("equal-share")
+@RATE_LIMIT_POLICIES.register("equal-share")
 class EqualShare:
     """Each entry gives away its share, asks nobody and tells nobody.
 
@@ -231,7 +231,7 @@
         if missing > 0:
             return Refused(wait_ms(missing, rate))
         share.level.add(now_ms, rate)
-        return Verdict.ADMITTED
+        return RateLimitVerdict.ADMITTED
 
     def note(self, now_ms: int, workspace: int, limit: RateLimit) -> None:
         """Count a request that was let in by other means."""
@@ -246,11 +246,11 @@
         if share is not None:
             share.level.add(now_ms, self._part(limit)[0], -1)
 
-    def view(self, now_ms: int, workspace: int) -> UseView:
+    def view(self, now_ms: int, workspace: int) -> UsageView:
         """Return a workspace's use; no request is counted by it."""
         share = self._share_by_workspace.get(workspace)
         level = share.level.at(now_ms, 0) if share is not None else 0.0
-        return UseView(level, False, max(1, self._entries()))
+        return UsageView(level, False, max(1, self._entries()))
 
     def _part(self, limit):
         entries = max(1, self._entries())
@@ -281,6 +281,6 @@
         return []
 
     @property
-    def is_waiting(self) -> bool:
+    def needs_tick(self) -> bool:
         """Whether `tick` is wanted."""
         return False
--- a/dahliashunt/decisions/replica_choice.py
+++ b/dahliashunt/decisions/replica_choice.py
@@ -75,7 +75,7 @@
     batch : int
         Slots besides those taken that batch items hold: an online request
         gets one by revoking its item, another item does not get it.
-    unheard : bool
+    agent_silent : bool
         Its agent does not answer, so that nobody counts its slots.
     connected : bool
         An idle connection to it stands.
@@ -89,7 +89,7 @@
     near: bool
     cold: bool = False
     batch: int = 0
-    unheard: bool = False
+    agent_silent: bool = False
     connected: bool = False
 
 
@@ -134,7 +134,7 @@
     return (
         one.avoided,
         no_room,
-        one.unheard,
+        one.agent_silent,
         one.cold,
         not _has_idle(one),
         -(_free(one) // ALIKE_SLOTS),
@@ -154,7 +154,7 @@
 
 
 def _may_keep(one):
-    return not (one.avoided or one.cold or one.unheard)
+    return not (one.avoided or one.cold or one.agent_silent)
 
 
 def _has_idle(one):
--- a/dahliashunt/decisions/return_time.py
+++ b/dahliashunt/decisions/retry_delay.py
@@ -35,7 +35,7 @@
 
 import random
 
-__all__ = ["HoldTimes", "return_after_ms", "return_after_outage_ms"]
+__all__ = ["HoldTimes", "outage_retry_delay_ms", "retry_delay_ms"]
 
 FIRST_HOLD_MS = 700
 """Time a slot is held before any was seen to end; about 250 output tokens
@@ -48,12 +48,12 @@
 """Requests that end sooner were cut or were short answers: a caller that
 comes back as soon meets the same wave."""
 
-TURNS = (1.0, 2.1)
+RETRY_DELAY_HOLDS = (1.0, 2.1)
 """How many holds later callers return, at the least and at the most. With
 holds of 0.7 s the latest is a third of five seconds, beyond which callers
 do not wait."""
 
-OUTAGE_MS = (300, 1_600)
+OUTAGE_RETRY_BOUNDS_MS = (300, 1_600)
 """Bounds of Retry-After in an outage: another node takes an early retry,
 and a third of five seconds is the longest that callers wait."""
 
@@ -90,7 +90,7 @@
         return max(LEAST_HOLD_MS, round(mean_ms))
 
 
-def return_after_ms(hold_ms: int, wait_ms: int, rng: random.Random) -> int:
+def retry_delay_ms(hold_ms: int, wait_ms: int, rng: random.Random) -> int:
     """Return the time after which a refused caller should come back.
 
     Parameters
@@ -103,14 +103,14 @@
 
     Examples
     --------
-    >>> 700 <= return_after_ms(700, 0, random.Random(1)) <= 1470
+    >>> 700 <= retry_delay_ms(700, 0, random.Random(1)) <= 1470
     True
     """
-    after_ms = int(hold_ms * rng.uniform(*TURNS))
+    after_ms = int(hold_ms * rng.uniform(*RETRY_DELAY_HOLDS))
     return max(wait_ms, after_ms)
 
 
-def return_after_outage_ms(lasted_ms: int, rng: random.Random) -> int:
+def outage_retry_delay_ms(lasted_ms: int, rng: random.Random) -> int:
     """Return the time after which to come back in an outage, in ms.
 
     Parameters
@@ -121,11 +121,11 @@
 
     Examples
     --------
-    >>> return_after_outage_ms(10, random.Random(1))
+    >>> outage_retry_delay_ms(10, random.Random(1))
     300
-    >>> return_after_outage_ms(60_000, random.Random(1))
+    >>> outage_retry_delay_ms(60_000, random.Random(1))
     1600
     """
-    least_ms, most_ms = OUTAGE_MS
+    least_ms, most_ms = OUTAGE_RETRY_BOUNDS_MS
     after_ms = int(lasted_ms * rng.uniform(*OUTAGE_SPREAD))
     return max(least_ms, min(most_ms, after_ms))
--- a/dahliashunt/decisions/slot_keeper.py
+++ b/dahliashunt/decisions/slot_allocator.py
@@ -30,8 +30,8 @@
 - Requests that can be in time get a free slot before those that are late
   in any case, so that a backlog after an outage does not make everybody
   late (`caller_wait`). Late ones may wait for longer.
-- Among these the more urgent go first (`Ask.rank`), but each fourth slot
-  goes to the less urgent one that came first: they don't starve.
+- Among these the more urgent go first (`SlotRequest.rank`), but each fourth
+  slot goes to the less urgent one that came first: they don't starve.
 - Holds are compared with the replica's own list (`slot_holds`).
 
 Complexity: each step is linear in the slots, which are few.
@@ -41,15 +41,15 @@
 from dataclasses import field
 
 from dahliashunt.decisions.slot_holds import SlotHolds
-from dahliashunt.decisions.slot_messages import Answered
-from dahliashunt.decisions.slot_messages import Ask
-from dahliashunt.decisions.slot_messages import KeeperState
+from dahliashunt.decisions.slot_messages import AllocatorState
 from dahliashunt.decisions.slot_messages import Revoked
+from dahliashunt.decisions.slot_messages import SlotDecision
+from dahliashunt.decisions.slot_messages import SlotReply
+from dahliashunt.decisions.slot_messages import SlotRequest
 from dahliashunt.decisions.slot_messages import Use
-from dahliashunt.decisions.slot_messages import Verdict
 from dahliashunt.ids import AttemptId
 
-__all__ = ["RECENT_MS", "SlotKeeper"]
+__all__ = ["BATCH_COOLDOWN_MS", "SlotAllocator"]
 
 FIRST_HOLD_MS = 700
 """Time a slot is held by an online request before any was seen to end;
@@ -58,7 +58,7 @@
 HOLD_WEIGHT = 0.1
 """Weight of a new hold in the mean: the last ten or so count."""
 
-RECENT_MS = 100
+BATCH_COOLDOWN_MS = 100
 """How long a slot that an online request has left is kept from batch: as
 long as the next request of a wave takes to come to a replica, which hears
 9 a second in a wave, and three times what an item needs to go on elsewhere.
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class _Waiting:
-    ask: Ask
+    ask: SlotRequest
     until_ms: int
     late_ms: int
 
@@ -81,7 +81,7 @@
 
 
 @dataclass(slots=True)
-class SlotKeeper:
+class SlotAllocator:
     """Decides over the slots of one replica.
 
     Parameters
@@ -103,16 +103,16 @@
         """Attempts that hold a slot."""
         return tuple(self._holds.by_id)
 
-    def ask(self, ask: Ask, now_ms: int) -> list:
+    def ask(self, ask: SlotRequest, now_ms: int) -> list:
         """Decide on `ask`; a repeat gets the verdict that stands."""
         held = self._holds.by_id.get(ask.attempt_id)
         if held is not None:
             held.renewed_ms = now_ms
-            return [_say(ask, Verdict.GRANTED)]
+            return [_say(ask, SlotDecision.GRANTED)]
         if ask.attempt_id in self._waiting_by_id:
-            return [_say(ask, Verdict.QUEUED)]
+            return [_say(ask, SlotDecision.QUEUED)]
         if self.away:
-            return [_say(ask, Verdict.AWAY)]
+            return [_say(ask, SlotDecision.AWAY)]
         if ask.use is Use.BATCH:
             return self._ask_batch(ask, now_ms)
         return self._ask_online(ask, now_ms)
@@ -122,7 +122,7 @@
         holds = self._holds
         taken = online + holds.count(Use.BATCH) + holds.foreign
         if self._waiting_by_id or taken >= self.slots:
-            return [_say(ask, Verdict.FULL)]
+            return [_say(ask, SlotDecision.FULL)]
         return [self._grant(ask, now_ms)]
 
     def _recent_online(self, now_ms):
@@ -140,11 +140,11 @@
                 return [revoked, self._grant(ask, now_ms)]
         useful_ms = min(ask.slack_ms, ask.wait_ms) or ask.wait_ms
         if self._wait_behind_ms(ask, now_ms) > useful_ms:
-            return [_say(ask, Verdict.FULL)]
+            return [_say(ask, SlotDecision.FULL)]
         self._waiting_by_id[ask.attempt_id] = _Waiting(
             ask, now_ms + ask.wait_ms, now_ms + ask.slack_ms
         )
-        return [_say(ask, Verdict.QUEUED)]
+        return [_say(ask, SlotDecision.QUEUED)]
 
     def _wait_behind_ms(self, ask, now_ms):
         """Return how long `ask` would wait behind those that go before."""
@@ -170,14 +170,14 @@
             return []
         if held.ask.use is Use.ONLINE:
             before = self._holds.count(Use.ONLINE) + 1
-            self._left.append((now_ms + RECENT_MS, before))
+            self._left.append((now_ms + BATCH_COOLDOWN_MS, before))
             lasted_ms = now_ms - held.since_ms
             self.hold_ms += HOLD_WEIGHT * (lasted_ms - self.hold_ms)
         return self._grant_waiting(now_ms)
 
-    def renew(self, attempt_ids, asker, now_ms: int) -> None:
-        """Note that `asker` still runs `attempt_ids`."""
-        self._holds.renew(attempt_ids, asker, now_ms)
+    def renew(self, attempt_ids, requester, now_ms: int) -> None:
+        """Note that `requester` still runs `attempt_ids`."""
+        self._holds.renew(attempt_ids, requester, now_ms)
 
     def report(self, running: frozenset, waiting: int, now_ms: int) -> list:
         """Compare with what the replica says that it runs and queues."""
@@ -192,9 +192,9 @@
             return 0
         return self._turn_ms(len(self._waiting_by_id))
 
-    def state(self) -> KeeperState:
+    def state(self) -> AllocatorState:
         """Return what entries are told."""
-        return KeeperState(
+        return AllocatorState(
             slots=self.slots,
             online=self._holds.count(Use.ONLINE) + self._holds.foreign,
             batch=self._holds.count(Use.BATCH),
@@ -206,18 +206,18 @@
     def _revoke(self, now_ms):
         """Take a slot back from batch; None if it holds none."""
         ask = self._holds.take_back(now_ms)
-        return ask and Revoked(ask.attempt_id, ask.asker)
+        return ask and Revoked(ask.attempt_id, ask.requester)
 
     def _grant(self, ask, now_ms):
         self._holds.grant(ask, now_ms)
-        return _say(ask, Verdict.GRANTED)
+        return _say(ask, SlotDecision.GRANTED)
 
     def _grant_waiting(self, now_ms):
         answers = []
         for attempt_id, waiting in list(self._waiting_by_id.items()):
             if waiting.until_ms < now_ms:
                 del self._waiting_by_id[attempt_id]
-                answers.append(_say(waiting.ask, Verdict.FULL))
+                answers.append(_say(waiting.ask, SlotDecision.FULL))
         while self._waiting_by_id and self._holds.used < self.slots:
             waiting = self._waiting_by_id.pop(self._next(now_ms))
             answers.append(self._grant(waiting.ask, now_ms))
@@ -240,4 +240,4 @@
 
 
 def _say(ask, verdict):
-    return Answered(ask.attempt_id, ask.asker, verdict)
+    return SlotReply(ask.attempt_id, ask.requester, verdict)
--- a/dahliashunt/decisions/slot_holds.py
+++ b/dahliashunt/decisions/slot_holds.py
@@ -1,6 +1,6 @@
 """Who holds a replica's slots, compared with what the replica runs.
 
-A hold whose asker went silent, or whose run the replica has not listed for
+A hold whose requester went silent, or whose run the replica has not listed for
 a while, is dropped, so that lost datagrams and dead entries do not keep
 slots. Runs that no hold accounts for count as taken: this keeper has
 started after them, or an entry sent without asking.
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-from dahliashunt.decisions.slot_messages import Ask
+from dahliashunt.decisions.slot_messages import SlotRequest
 from dahliashunt.decisions.slot_messages import Use
 from dahliashunt.ids import AttemptId
 from dahliashunt.ids import RequestId
@@ -19,8 +19,8 @@
 __all__ = ["RENEW_WITHIN_MS", "UNSEEN_MS", "Hold", "SlotHolds"]
 
 RENEW_WITHIN_MS = 3_500
-"""A hold that was not renewed for so long is dropped: askers renew every
-second, so three renewals in a row were lost or the asker is gone."""
+"""A hold that was not renewed for so long is dropped: requesters renew every
+second, so three renewals in a row were lost or the requester is gone."""
 
 UNSEEN_MS = 800
 """A hold this old that the replica neither runs nor queues is dropped; a
@@ -43,7 +43,7 @@
         When its batch item is due; the latest yields first.
     """
 
-    ask: Ask
+    ask: SlotRequest
     since_ms: int
     renewed_ms: int
     due_ms: int
@@ -74,23 +74,23 @@
         """Return the holds for `use`."""
         return sum(hold.ask.use is use for hold in self.by_id.values())
 
-    def grant(self, ask: Ask, now_ms: int) -> None:
+    def grant(self, ask: SlotRequest, now_ms: int) -> None:
         """Note that `ask` holds a slot."""
         due_ms = now_ms + ask.slack_ms
         self.by_id[ask.attempt_id] = Hold(ask, now_ms, now_ms, due_ms)
 
-    def renew(self, attempt_ids, asker, now_ms: int) -> None:
-        """Note that `asker` still runs `attempt_ids`.
+    def renew(self, attempt_ids, requester, now_ms: int) -> None:
+        """Note that `requester` still runs `attempt_ids`.
 
         An attempt unknown here (this keeper started after its grant) is
         counted through the replica's own report instead.
         """
         for attempt_id in attempt_ids:
             hold = self.by_id.get(attempt_id)
-            if hold is not None and hold.ask.asker == asker:
+            if hold is not None and hold.ask.requester == requester:
                 hold.renewed_ms = now_ms
 
-    def take_back(self, now_ms: int) -> Ask | None:
+    def take_back(self, now_ms: int) -> SlotRequest | None:
         """Drop the batch hold with the most slack; None if there is none."""
         batch = [
             hold for hold in self.by_id.values() if hold.ask.use is Use.BATCH
--- a/dahliashunt/decisions/slot_messages.py
+++ b/dahliashunt/decisions/slot_messages.py
@@ -6,7 +6,14 @@
 from dahliashunt.ids import AttemptId
 from dahliashunt.ids import RequestId
 
-__all__ = ["Answered", "Ask", "KeeperState", "Revoked", "Use", "Verdict"]
+__all__ = [
+    "AllocatorState",
+    "Revoked",
+    "SlotDecision",
+    "SlotReply",
+    "SlotRequest",
+    "Use",
+]
 
 
 class Use(enum.Enum):
@@ -16,7 +23,7 @@
     BATCH = "batch"
 
 
-class Verdict(enum.Enum):
+class SlotDecision(enum.Enum):
     """Answer to an ask."""
 
     GRANTED = "granted"
@@ -26,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class SlotRequest:
     """An entry wants a slot.
 
     Attributes
@@ -34,7 +41,7 @@
     attempt_id : AttemptId
     run_id : RequestId
         How the replica lists the request.
-    asker : object
+    requester : object
         Where answers go; compared only.
     use : Use
     wait_ms : int
@@ -48,7 +55,7 @@
 
     attempt_id: AttemptId
     run_id: RequestId
-    asker: object
+    requester: object
     use: Use
     wait_ms: int = 0
     slack_ms: int = 0
@@ -56,24 +63,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
-    """Tell `asker` the verdict on its attempt."""
+class SlotReply:
+    """Tell `requester` the verdict on its attempt."""
 
     attempt_id: AttemptId
-    asker: object
-    verdict: Verdict
+    requester: object
+    verdict: SlotDecision
 
 
 @dataclass(frozen=True, slots=True)
 class Revoked:
-    """Tell `asker` to stop its attempt and make room."""
+    """Tell `requester` to stop its attempt and make room."""
 
     attempt_id: AttemptId
-    asker: object
+    requester: object
 
 
 @dataclass(frozen=True, slots=True)
-class KeeperState:
+class AllocatorState:
     """What entries are told of one replica.
 
     Attributes
--- a/dahliashunt/decisions/step_model.py
+++ b/dahliashunt/decisions/step_model.py
@@ -87,7 +87,9 @@
         step = base + per_stream * running + per_kv * kv_tokens / 1000
         return max(_LEAST_STEP_MS, step)
 
-    def predict_alone(self, occupancy: Occupancy, step_ms: float) -> float:
+    def predict_without_batch(
+        self, occupancy: Occupancy, step_ms: float
+    ) -> float:
         """Return the step that the online streams would have alone.
 
         Without batch they would also end sooner, so that fewer would run
--- a/dahliashunt/decisions/streams.py
+++ b/dahliashunt/decisions/streams.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 import enum
 
-from dahliashunt.decisions.events import PreemptHow
+from dahliashunt.decisions.events import AttemptRequest
+from dahliashunt.decisions.events import PreemptMode
 from dahliashunt.decisions.events import Priority
-from dahliashunt.decisions.events import Work
 
 __all__ = ["Occupancy", "Stream", "StreamState"]
 
@@ -32,9 +32,9 @@
         Tokens of the answer so far.
     ran_tokens : int
         Tokens made since the last start.
-    how : PreemptHow or None
+    how : PreemptMode or None
         How it was stopped, if it waits after a preemption.
-    stopping : PreemptHow or None
+    stopping : PreemptMode or None
         Set from the `Preempt` until it takes effect.
     cancelled : bool
         Whether it ends instead of waiting again.
@@ -44,12 +44,12 @@
         Prompt tokens that the engine computes at the next start.
     """
 
-    work: Work
+    work: AttemptRequest
     state: StreamState = StreamState.WAITING
     done: int = 0
     ran_tokens: int = 0
-    how: PreemptHow | None = None
-    stopping: PreemptHow | None = None
+    how: PreemptMode | None = None
+    stopping: PreemptMode | None = None
     preemptions: int = 0
     prefill: int = 0
     kv_at_start: int = 0
--- a/dahliashunt/decisions/tail.py
+++ b/dahliashunt/decisions/tail.py
@@ -92,7 +92,7 @@
         """Return whether a step may exceed the target for batch prompts."""
         return self._credit >= 1
 
-    def exceeds(self) -> None:
+    def spend_credit(self) -> None:
         """Note that a step will exceed the target for batch prompts."""
         self._credit -= 1
         self._prepaid = True
@@ -107,7 +107,7 @@
     def _learn(self, gap_ms, occupancy, stalled) -> None:
         model = self._model
         step = model.predict(occupancy.running, occupancy.kv)
-        alone = model.predict_alone(occupancy, step)
+        alone = model.predict_without_batch(occupancy, step)
         if not stalled:
             alone += max(0.0, gap_ms - step)
         self._track_alone(alone)
--- a/dahliashunt/decisions/tests/engine_play.py
+++ b/dahliashunt/decisions/tests/engine_simulation.py
@@ -14,12 +14,12 @@
 import random
 
 from dahliashunt.decisions.agent import AgentDecisions
+from dahliashunt.decisions.events import AttemptRequest
 from dahliashunt.decisions.events import Preempt
-from dahliashunt.decisions.events import PreemptHow
+from dahliashunt.decisions.events import PreemptMode
 from dahliashunt.decisions.events import Priority
+from dahliashunt.decisions.events import RefuseAttempt
 from dahliashunt.decisions.events import Start
-from dahliashunt.decisions.events import TurnAway
-from dahliashunt.decisions.events import Work
 from dahliashunt.ids import AttemptId
 from dahliashunt.ids import CallerId
 from dahliashunt.ports.engine import EngineLoad
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineShape:
+class EngineParameters:
     """What the engine's step costs, and what it holds.
 
     A message between agent and engine takes `hop_ms`; batch items arrive
@@ -71,12 +71,12 @@
 class Seen:
     """What the caller of one request saw."""
 
-    work: Work
+    work: AttemptRequest
     offered_ms: float
     answer: int
     token_ms: list = field(default_factory=list)
     ended_ms: float | None = None
-    turned_away: TurnAway | None = None
+    turned_away: RefuseAttempt | None = None
     turned_away_ms: float | None = None
 
     @property
@@ -84,12 +84,12 @@
         return self.token_ms[0] - self.offered_ms
 
 
-class Play:
+class EngineSimulation:
     """Drives an agent's decisions against the engine."""
 
     def __init__(self, agent: AgentDecisions, shape=None, batch=None):
         self.agent = agent
-        self.shape = shape or EngineShape()
+        self.shape = shape or EngineParameters()
         self.now = 0.0
         self.seen_by_id: dict[AttemptId, Seen] = {}
         self.preempts: list[tuple[float, Preempt]] = []
@@ -110,7 +110,7 @@
         self._stale = (0, 0, 0)
         self._at(REPORT_MS, self._report)
 
-    def offer_at(self, at_ms, work: Work, answer: int):
+    def offer_at(self, at_ms, work: AttemptRequest, answer: int):
         self._at(at_ms, self._offer, work, answer)
 
     def cancel_at(self, at_ms, attempt_id):
@@ -143,7 +143,7 @@
 
     def _do(self, decisions):
         for decision in decisions:
-            if isinstance(decision, TurnAway):
+            if isinstance(decision, RefuseAttempt):
                 seen = self.seen_by_id[decision.attempt_id]
                 seen.turned_away = decision
                 seen.turned_away_ms = self.now
@@ -186,9 +186,9 @@
 
     def _arrive(self, start: Start):
         run = self._runs_by_id[start.attempt_id]
-        if start.how is PreemptHow.EXPORT_KV:
+        if start.how is PreemptMode.EXPORT_KV:
             run.prefill, run.moved = 0, run.kv
-        elif start.how is PreemptHow.RESUME:
+        elif start.how is PreemptMode.RESUME:
             run.prefill = run.kv if self.shape.resume_recomputes else 0
         else:
             run.prefill = run.prompt
@@ -234,10 +234,10 @@
                 self._running.remove(run)
             else:
                 self._queue.remove(run)
-            if stop.how is PreemptHow.RESTART:
+            if stop.how is PreemptMode.RESTART:
                 self.lost_tokens += run.done
                 run.done = 0
-            elif stop.how is PreemptHow.EXPORT_KV:
+            elif stop.how is PreemptMode.EXPORT_KV:
                 moved += run.kv
             self._at(
                 self.now + self.shape.hop_ms, self._stopped, stop, run.done
@@ -302,7 +302,7 @@
         self._at(self.now + REPORT_MS, self._report)
 
 
-class Mix:
+class RequestMix:
     """Random requests: prompts lognormal, answers geometric."""
 
     def __init__(self, seed, prompt=300, answer=120, most=480):
@@ -325,7 +325,7 @@
             if at >= until_ms:
                 return
             prompt, answer = self.sizes()
-            work = Work(
+            work = AttemptRequest(
                 AttemptId(f"{prefix}{n}"),
                 Priority.ONLINE,
                 CallerId("caller"),
@@ -342,7 +342,7 @@
 
         def item():
             prompt, answer = self.sizes()
-            work = Work(
+            work = AttemptRequest(
                 AttemptId(f"b{next(numbers)}"),
                 Priority.BATCH,
                 CallerId("archive"),
--- a/dahliashunt/decisions/tests/play.py
+++ b/dahliashunt/decisions/tests/fleet_simulation.py
@@ -23,8 +23,8 @@
 from dahliashunt.decisions.events import Dispatch
 from dahliashunt.decisions.events import EndpointInfo
 from dahliashunt.decisions.events import EndpointReport
-from dahliashunt.decisions.events import GiveUp
-from dahliashunt.decisions.events import Loss
+from dahliashunt.decisions.events import FailRequest
+from dahliashunt.decisions.events import LossReason
 from dahliashunt.decisions.events import OnlineRequest
 
 MODEL = "m"
@@ -47,7 +47,7 @@
     first_at: int = 0
     first_ms: int | None = None
     done_ms: int | None = None
-    refusals: list[GiveUp] = field(default_factory=list)
+    refusals: list[FailRequest] = field(default_factory=list)
     answered_ms: int | None = None
     runs: int = 0
 
@@ -187,9 +187,9 @@
         self.up = False
         self.clean()
         alongside = tuple({fingerprint(s.call) for s in lost})
-        loss = Loss.CRASHED
+        loss = LossReason.CRASHED
         if end is not AttemptEnd.CRASHED:
-            alongside, loss = (), Loss.UNREACHABLE
+            alongside, loss = (), LossReason.UNREACHABLE
         for stream in lost:
             self.play.end(stream, end, alongside)
         for stream in not_run:
@@ -231,7 +231,7 @@
         )
 
 
-class Play:
+class FleetSimulation:
     """Clients, entries and engines on one virtual clock."""
 
     def __init__(
@@ -246,7 +246,7 @@
         self.crashes = 0
         self.calls: list[Call] = []
         self.ran_again: Counter[str] = Counter()
-        self.resend: Callable[[Call, GiveUp], int | None] = no_resend
+        self.resend: Callable[[Call, FailRequest], int | None] = no_resend
         self._heap: list = []
         self._order = itertools.count()
         self._ids = itertools.count()
@@ -403,12 +403,12 @@
     return None
 
 
-def obedient(call, decision):
+def honour_retry_after(call, decision):
     """Come back when told, up to five times."""
     return decision.retry_after_ms if call.sends < 6 else None
 
 
-def impatient(call, decision):
+def retry_after_50_ms(call, decision):
     """Come back after 50 ms, whatever was said."""
     return 50 if call.sends < 20 else None
 
--- a/dahliashunt/decisions/tests/cap_play.py
+++ b/dahliashunt/decisions/tests/rate_limit_simulation.py
@@ -1,8 +1,9 @@
 """Entries, meters and a network that loses things, on a virtual clock.
 
-`CapPlay` plays requests of workspaces through the policies of `CAPS` and
-notes which were let in. `overruns` holds these against the bound that the
-limit allows in each window, and `lost` against one exact count.
+`RateLimitSimulation` plays requests of workspaces through the policies of
+`RATE_LIMIT_POLICIES` and notes which were let in. `overruns` holds these
+against the bound that the limit allows in each window, and `lost` against
+one exact count.
 """
 
 import bisect
@@ -14,13 +15,13 @@
 
 from dahliashunt.decisions.link_choice import rendezvous_rank
 from dahliashunt.decisions.meter import Meter
-from dahliashunt.decisions.metered import METERS
-from dahliashunt.decisions.rate_limits import Asked
-from dahliashunt.decisions.rate_limits import CAPS
+from dahliashunt.decisions.metered import METERS_PER_WORKSPACE
 from dahliashunt.decisions.rate_limits import Level
-from dahliashunt.decisions.rate_limits import Verdict
+from dahliashunt.decisions.rate_limits import PendingVerdict
+from dahliashunt.decisions.rate_limits import RATE_LIMIT_POLICIES
+from dahliashunt.decisions.rate_limits import RateLimitVerdict
 
-__all__ = ["CapPlay", "arrivals", "lost", "overruns"]
+__all__ = ["RateLimitSimulation", "arrivals", "lost", "overruns"]
 
 WINDOW_MS = 5_000
 OVERRUN = 0.1
@@ -54,13 +55,13 @@
     late: list = field(default_factory=list)
 
 
-class CapPlay:
+class RateLimitSimulation:
     """A fleet of entries and meters.
 
     Parameters
     ----------
     policy : str
-        Of `CAPS`.
+        Of `RATE_LIMIT_POLICIES`.
     entries, meters : int
     limit : RateLimit
         Of every workspace.
@@ -92,7 +93,7 @@
             self.at(first_ms, lambda n=number: self._renew(n))
 
     def _start(self, number):
-        member = CAPS.get(self._policy)
+        member = RATE_LIMIT_POLICIES.get(self._policy)
         return _Entry(member(lambda: self._known, self._meters_of, self.rng))
 
     def _meters_of(self, workspace):
@@ -101,7 +102,7 @@
             key=lambda host: rendezvous_rank(str(workspace), host),
             reverse=True,
         )
-        return tuple(ranked[:METERS])
+        return tuple(ranked[:METERS_PER_WORKSPACE])
 
     # What may happen.
 
@@ -153,7 +154,7 @@
             return
         limit = self.limit_by_entry[number]
         found = entry.policy.take(self.now_ms, request.workspace, limit)
-        if isinstance(found, Asked):
+        if isinstance(found, PendingVerdict):
             entry.pending[found.number] = request
         else:
             self._decide(request, found)
@@ -177,7 +178,7 @@
                     number, h, r, e
                 ),
             )
-        if entry.policy.is_waiting and number not in self._ticking:
+        if entry.policy.needs_tick and number not in self._ticking:
             self._ticking.add(number)
             self.at(self.now_ms + TICK_MS, lambda: self._tick(number))
 
@@ -227,7 +228,8 @@
         return sorted(
             r.decided_ms
             for r in self.requests
-            if r.workspace == workspace and r.verdict is Verdict.ADMITTED
+            if r.workspace == workspace
+            and r.verdict is RateLimitVerdict.ADMITTED
         )
 
 
--- a/dahliashunt/decisions/tests/shared_fleet.py
+++ b/dahliashunt/decisions/tests/shared_fleet.py
@@ -12,16 +12,16 @@
 import math
 import random
 
-from dahliashunt.decisions.item_order import ItemOrder
+from dahliashunt.decisions.item_order import ItemQueue
 from dahliashunt.decisions.item_order import WaitingItem
 from dahliashunt.decisions.replica_choice import Candidate
 from dahliashunt.decisions.replica_choice import order_replicas
-from dahliashunt.decisions.slot_keeper import SlotKeeper
-from dahliashunt.decisions.slot_messages import Answered
-from dahliashunt.decisions.slot_messages import Ask
+from dahliashunt.decisions.slot_allocator import SlotAllocator
 from dahliashunt.decisions.slot_messages import Revoked
+from dahliashunt.decisions.slot_messages import SlotDecision
+from dahliashunt.decisions.slot_messages import SlotReply
+from dahliashunt.decisions.slot_messages import SlotRequest
 from dahliashunt.decisions.slot_messages import Use
-from dahliashunt.decisions.slot_messages import Verdict
 
 __all__ = ["EarliestDue", "Fleet", "Load", "Outcome", "Switches"]
 
@@ -69,14 +69,14 @@
     """From and until when callers find no entry at all."""
 
 
-class EarliestDue(ItemOrder):
+class EarliestDue(ItemQueue):
     """The baseline: by due time alone, in the queue and at the keeper."""
 
     def spare_ms(self, item, now_ms):
         return 0
 
 
-class NeverRevokes(SlotKeeper):
+class NeverRevokes(SlotAllocator):
     """The baseline: online requests wait for an item's end."""
 
     __slots__ = ()
@@ -89,8 +89,8 @@
 class Switches:
     """Mechanisms that a trial may switch off, one by one."""
 
-    order: type = ItemOrder
-    keeper: type = SlotKeeper
+    order: type = ItemQueue
+    allocator: type = SlotAllocator
     idle_first: bool = True
     queues: bool = True
     """Whether an online request may wait at a full replica."""
@@ -166,7 +166,7 @@
         self._now_ms = 0
 
     def _keeper(self):
-        return self.switches.keeper(self.load.slots)
+        return self.switches.allocator(self.load.slots)
 
     def play(self) -> Outcome:
         """Play to the end; items run on for 18 s after the traffic."""
@@ -239,10 +239,12 @@
             rounds.append((wait_ms, asked[:1]))
         for wait_ms, numbers in rounds:
             for number in numbers:
-                asker = ("online", number, online)
-                ask = Ask(name, name, asker, Use.ONLINE, wait_ms, slack_ms)
+                requester = ("online", number, online)
+                ask = SlotRequest(
+                    name, name, requester, Use.ONLINE, wait_ms, slack_ms
+                )
                 verdict = self._tell(self._keepers[number], ask)
-                if verdict is not Verdict.FULL:
+                if verdict is not SlotDecision.FULL:
                     return
         self._refuse(online)
 
@@ -257,8 +259,8 @@
         online.refused = online.last = True
         self._at(online.came_ms, self._place_online, online)
 
-    def _tell(self, keeper, ask):
-        effects = keeper.ask(ask, self._now_ms)
+    def _tell(self, allocator, ask):
+        effects = allocator.ask(ask, self._now_ms)
         self._obey(effects)
         return effects[-1].verdict
 
@@ -266,12 +268,12 @@
         for effect in effects:
             if isinstance(effect, Revoked):
                 self._revoked(effect.attempt_id)
-            elif effect.asker[0] == "online":
+            elif effect.requester[0] == "online":
                 self._online_answered(effect)
 
-    def _online_answered(self, answered: Answered):
-        _, number, online = answered.asker
-        if answered.verdict is Verdict.GRANTED:
+    def _online_answered(self, answered: SlotReply):
+        _, number, online = answered.requester
+        if answered.verdict is SlotDecision.GRANTED:
             ended = (number, answered.attempt_id)
             self._at(self._now_ms + online.run_ms, self._release, *ended)
             self._count_served(online)
@@ -287,13 +289,13 @@
             self._in_time += 1
 
     def _release(self, number, attempt_id):
-        keeper = self._keepers[number]
-        self._obey(keeper.release(attempt_id, self._now_ms))
+        allocator = self._keepers[number]
+        self._obey(allocator.release(attempt_id, self._now_ms))
 
     def _ordered(self):
         candidates = [
-            self._candidate(number, keeper.state())
-            for number, keeper in enumerate(self._keepers)
+            self._candidate(number, allocator.state())
+            for number, allocator in enumerate(self._keepers)
             if number not in self._away
         ]
         ordered = order_replicas(candidates, "", self._rng)
@@ -350,9 +352,9 @@
             return
         name = f"item{next(self._numbers)}"
         slack_ms = queue.slack_ms(waiting, now_ms)
-        ask = Ask(name, name, ("item",), Use.BATCH, 0, slack_ms)
+        ask = SlotRequest(name, name, ("item",), Use.BATCH, 0, slack_ms)
         for number in self._ordered()[:ASKED]:
-            if self._tell(self._keepers[number], ask) is Verdict.GRANTED:
+            if self._tell(self._keepers[number], ask) is SlotDecision.GRANTED:
                 self._start(waiting.work, number, name)
                 self._at(self._now_ms + ROUND_TRIP_MS, self._pump, owner)
                 return
--- a/dahliashunt/decisions/tests/test_agent.py
+++ b/dahliashunt/decisions/tests/test_agent.py
@@ -7,12 +7,12 @@
 from dahliashunt.decisions.agent_policy import HARM_FIRST
 from dahliashunt.decisions.agent_policy import PROFILES
 from dahliashunt.decisions.agent_policy import THROUGHPUT_FIRST
+from dahliashunt.decisions.events import AttemptRequest
 from dahliashunt.decisions.events import Preempt
-from dahliashunt.decisions.events import PreemptHow
+from dahliashunt.decisions.events import PreemptMode
 from dahliashunt.decisions.events import Priority
+from dahliashunt.decisions.events import RefuseAttempt
 from dahliashunt.decisions.events import Start
-from dahliashunt.decisions.events import TurnAway
-from dahliashunt.decisions.events import Work
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import Ran
 from dahliashunt.ports.engine import EngineLoad
@@ -21,13 +21,15 @@
 
 
 def online(name, prompt=100, start_by=700, most=100, **more):
-    return Work(
+    return AttemptRequest(
         name, Priority.ONLINE, "c", prompt, most, start_by, True, **more
     )
 
 
 def batch(name, prompt=100, most=100, **more):
-    return Work(name, Priority.BATCH, "a", prompt, most, FOREVER, True, **more)
+    return AttemptRequest(
+        name, Priority.BATCH, "a", prompt, most, FOREVER, True, **more
+    )
 
 
 def of(kind, decisions):
@@ -85,7 +87,7 @@
 def test_preempted_stream_does_not_expire():
     # It started in time; refused now, its work would be lost.
     agent = make(max_running=1, reserve_slots=0)
-    work = Work("b", Priority.BATCH, "a", 100, 100, 100, True)
+    work = AttemptRequest("b", Priority.BATCH, "a", 100, 100, 100, True)
     assert of(Start, agent.offer(0, work)) == ["b"]
     (stop,) = agent.offer(60, online("o"))
     agent.preempted(90, "b", stop.how, 1)
@@ -128,7 +130,7 @@
         away += [
             d
             for d in agent.offer(10, online(f"x{n}", start_by=400))
-            if isinstance(d, TurnAway)
+            if isinstance(d, RefuseAttempt)
         ]
     assert len(away) == 20
     assert {d.kind for d in away} == {ErrorKind.OVERLOADED}
@@ -152,7 +154,7 @@
     # The wake-up may be early by what has started, never late.
     assert agent.tick(agent.wake_ms()) == []
     assert agent.wake_ms() == 60_001
-    assert of(TurnAway, agent.tick(60_001)) == ["w"]
+    assert of(RefuseAttempt, agent.tick(60_001)) == ["w"]
     assert agent.wake_ms() is None
 
 
@@ -162,7 +164,7 @@
     assert agent.offer(1, batch("b1", prompt=600)) == []
     decisions = agent.offer(2, online("o", prompt=600))
     assert of(Preempt, decisions) == ["b0"] and len(decisions) == 1
-    decisions = agent.preempted(30, "b0", PreemptHow.RESTART, 0)
+    decisions = agent.preempted(30, "b0", PreemptMode.RESTART, 0)
     assert of(Start, decisions) == ["o"]
 
 
@@ -230,7 +232,7 @@
     assert of(Start, agent.offer(0, batch("suspect", alone=True)))
     decisions = agent.offer(10, online("o"))
     assert of(Preempt, decisions) == ["suspect"] and len(decisions) == 1
-    decisions = agent.preempted(20, "suspect", PreemptHow.RESTART, 0)
+    decisions = agent.preempted(20, "suspect", PreemptMode.RESTART, 0)
     assert of(Start, decisions) == ["o"]
 
 
@@ -248,7 +250,7 @@
 def test_leaving_turns_away_what_waits_and_what_comes():
     agent = filled(2, max_running=2, reserve_slots=0)
     agent.offer(60, batch("w"))
-    assert of(TurnAway, agent.leaving(70)) == ["w"]
+    assert of(RefuseAttempt, agent.leaving(70)) == ["w"]
     (refusal,) = agent.offer(71, online("late"))
     assert refusal.kind is ErrorKind.LEAVING and refusal.ran is Ran.NO
     assert agent.ended(90, "b0") == []
@@ -325,7 +327,7 @@
     away = []
     for n in range(40):
         decisions = agent.offer(40 + n, batch(f"b{n}", prompt=6_000))
-        away += [d for d in decisions if isinstance(d, TurnAway)]
+        away += [d for d in decisions if isinstance(d, RefuseAttempt)]
     assert len(away) == 40 - HARM_FIRST.most_held_items // 2
     assert {d.retry_after_ms for d in away} == {HARM_FIRST.long_retry_ms}
     assert agent.batch_room() > 0
--- a/dahliashunt/decisions/tests/test_agent_play.py
+++ b/dahliashunt/decisions/tests/test_agent_simulation.py
@@ -8,11 +8,11 @@
 from dahliashunt.decisions.agent import AgentDecisions
 from dahliashunt.decisions.agent_policy import HARM_FIRST
 from dahliashunt.decisions.agent_policy import THROUGHPUT_FIRST
+from dahliashunt.decisions.events import AttemptRequest
 from dahliashunt.decisions.events import Priority
-from dahliashunt.decisions.events import Work
-from dahliashunt.decisions.tests.engine_play import EngineShape
-from dahliashunt.decisions.tests.engine_play import Mix
-from dahliashunt.decisions.tests.engine_play import Play
+from dahliashunt.decisions.tests.engine_simulation import EngineParameters
+from dahliashunt.decisions.tests.engine_simulation import EngineSimulation
+from dahliashunt.decisions.tests.engine_simulation import RequestMix
 
 SECOND = 1_000
 # What the engine gives at most with all slots on batch, in tokens a second.
@@ -21,12 +21,14 @@
 
 def play(policy=THROUGHPUT_FIRST, shape=None, with_batch=True, prompt=500):
     agent = AgentDecisions(policy, random.Random(3))
-    source = Mix(7, prompt, 200).batch() if with_batch else None
-    return Play(agent, shape, source)
+    source = RequestMix(7, prompt, 200).batch() if with_batch else None
+    return EngineSimulation(agent, shape, source)
 
 
 def offer(game, rate_s, from_ms, until_ms, prefix="o", seed=5):
-    for arrival in Mix(seed).arrivals(prefix, rate_s, from_ms, until_ms):
+    for arrival in RequestMix(seed).arrivals(
+        prefix, rate_s, from_ms, until_ms
+    ):
         game.offer_at(*arrival)
 
 
@@ -128,7 +130,7 @@
     # An engine that runs out of KV memory throws streams out and computes
     # them again: online callers see a gap of a whole prompt. It fitted
     # when they were let in, but their answers grew.
-    shape = EngineShape(kv_total=8_000)
+    shape = EngineParameters(kv_total=8_000)
     policy = replace(THROUGHPUT_FIRST, kv_total_tokens=8_000)
     game = play(policy, shape, with_batch)
     offer(game, rate_s, 0, 30 * SECOND)
@@ -140,19 +142,21 @@
 def test_long_prompts_do_not_hold_up_short_ones():
     # Every fourth batch prompt is so long that beside online work it must
     # wait; it stood at the head of the queue and nothing else went in.
-    sizes = Mix(7, 200, 200)
+    sizes = RequestMix(7, 200, 200)
     count = iter(range(1 << 30))
 
     def item():
         n = next(count)
         prompt, answer = sizes.sizes()
         prompt = 6_000 if n % 4 == 0 else prompt
-        work = Work(f"b{n}", Priority.BATCH, "a", prompt, 480, 1 << 60, True)
+        work = AttemptRequest(
+            f"b{n}", Priority.BATCH, "a", prompt, 480, 1 << 60, True
+        )
         return work, answer
 
     policy = replace(THROUGHPUT_FIRST, long_stall_ms=0.0, longest_stall_ms=0.0)
     agent = AgentDecisions(policy, random.Random(3))
-    game = Play(agent, EngineShape(), item)
+    game = EngineSimulation(agent, EngineParameters(), item)
     offer(game, 3, 0, 30 * SECOND)
     game.run(30 * SECOND)
     assert game.batch_tokens > 0.3 * FULL * 30
--- a/dahliashunt/decisions/tests/test_back_off.py
+++ b/dahliashunt/decisions/tests/test_back_off.py
@@ -6,7 +6,7 @@
 from dahliashunt.decisions.events import Dispatch
 from dahliashunt.decisions.events import EndpointInfo
 from dahliashunt.decisions.events import EndpointReport
-from dahliashunt.decisions.events import GiveUp
+from dahliashunt.decisions.events import FailRequest
 from dahliashunt.decisions.events import OnlineRequest
 
 
@@ -38,7 +38,7 @@
     decided = decisions.report(200, report(0))
     decided += decisions.arrive(300, request("c", 300))
     assert [d.request_id for d in decided if isinstance(d, Dispatch)]
-    assert not [d for d in decided if isinstance(d, GiveUp)]
+    assert not [d for d in decided if isinstance(d, FailRequest)]
 
 
 def test_suspect_held_up_by_others_closes_nothing_for_them():
--- a/dahliashunt/decisions/tests/test_batch_order.py
+++ b/dahliashunt/decisions/tests/test_batch_order.py
@@ -6,7 +6,7 @@
 from dahliashunt.decisions.batch_order import BatchOrderPolicy
 from dahliashunt.decisions.batch_order import FailItem
 from dahliashunt.decisions.batch_order import RetryItem
-from dahliashunt.decisions.batch_queue import JobShape
+from dahliashunt.decisions.batch_queue import JobDemand
 
 HOUR = 3_600_000
 STEP_MS = 1_000
@@ -19,7 +19,7 @@
 
 def job(job_id, items, due_h=9.0, caller="museum", tokens=500, weight=1.0):
     due_ms = int(due_h * HOUR)
-    return JobShape(job_id, caller, "m", due_ms, items, tokens, weight)
+    return JobDemand(job_id, caller, "m", due_ms, items, tokens, weight)
 
 
 def drain(order, items_by_job, room, until_ms, from_ms=0):
@@ -32,7 +32,7 @@
             assert left[grant.job_id] >= 0
             if left[grant.job_id] == 0:
                 sent_at[grant.job_id] = now
-                order.job_gone(grant.job_id)
+                order.remove_job(grant.job_id)
     return sent_at
 
 
--- a/dahliashunt/decisions/tests/test_caps.py
+++ b/dahliashunt/decisions/tests/test_caps.py
@@ -9,13 +9,13 @@
 
 from dahliashunt.decisions import meter as meter_module
 from dahliashunt.decisions.meter import Meter
-from dahliashunt.decisions.meter_messages import Report
-from dahliashunt.decisions.rate_limits import CAPS
+from dahliashunt.decisions.meter_messages import UsageReport
+from dahliashunt.decisions.rate_limits import RATE_LIMIT_POLICIES
 from dahliashunt.decisions.rate_limits import RateLimit
-from dahliashunt.decisions.tests.cap_play import arrivals
-from dahliashunt.decisions.tests.cap_play import CapPlay
-from dahliashunt.decisions.tests.cap_play import lost
-from dahliashunt.decisions.tests.cap_play import overruns
+from dahliashunt.decisions.tests import rate_limit_simulation
+from dahliashunt.decisions.tests.rate_limit_simulation import arrivals
+from dahliashunt.decisions.tests.rate_limit_simulation import lost
+from dahliashunt.decisions.tests.rate_limit_simulation import overruns
 
 RATE, BURST, ALLOWANCE = 20.0, 20.0, 5.0
 LIMIT = RateLimit(RATE, BURST + ALLOWANCE, revision=1)
@@ -26,7 +26,9 @@
 
 def hot_play(policy, seed, callers=ENTRIES, times=HOT, **how):
     """Return a play with a workspace at `times` its limit."""
-    play = CapPlay(policy, ENTRIES, METERS, LIMIT, seed, **how)
+    play = rate_limit_simulation.RateLimitSimulation(
+        policy, ENTRIES, METERS, LIMIT, seed, **how
+    )
     rng = random.Random(seed)
     for at_ms in arrivals(rng, times * RATE, 0, SECONDS * 1000):
         play.send(at_ms, rng.randrange(callers), 7)
@@ -38,7 +40,7 @@
     return hot_play(policy, seed, callers, times=0.6)
 
 
-@pytest.mark.parametrize("policy", list(CAPS))
+@pytest.mark.parametrize("policy", list(RATE_LIMIT_POLICIES))
 @pytest.mark.parametrize("seed", range(4))
 def test_a_hot_workspace_is_held_to_its_limit(policy, seed):
     """Guards against a limit that each entry grants anew."""
@@ -178,7 +180,9 @@
 ):
     """Guards against orders of faults that nobody thought of."""
     limit = RateLimit(rate, rate + ALLOWANCE, 1)
-    play = CapPlay("metered", 12, 5, limit, seed)
+    play = rate_limit_simulation.RateLimitSimulation(
+        "metered", 12, 5, limit, seed
+    )
     play.loss = loss
     rng = random.Random(seed)
     for at_ms in arrivals(rng, times * rate, 0, 14_000):
@@ -195,7 +199,7 @@
 
 
 def report(total, sequence, wanted=0, since=0, life=1, limit=LIMIT):
-    return Report(7, life, sequence, total, since, wanted, limit)
+    return UsageReport(7, life, sequence, total, since, wanted, limit)
 
 
 def test_a_repeated_report_is_counted_once():
@@ -237,7 +241,7 @@
 
 def test_a_request_that_did_not_run_is_given_back():
     """Guards against refusals by replicas that use up a limit."""
-    play = CapPlay("metered", 1, 3, LIMIT)
+    play = rate_limit_simulation.RateLimitSimulation("metered", 1, 3, LIMIT)
     policy = play.entries[0].policy
     for n in range(200):
         play.now_ms = 10 * n
@@ -252,9 +256,11 @@
     meter = Meter()
     for second in range(200):
         now_ms = second * 1_000
-        meter.report(now_ms, "a", Report(7, 1, second, second, 0, 0, LIMIT))
-        meter.report(now_ms, "b", Report(7, second, 1, 1, 0, 0, LIMIT))
-        meter.report(now_ms, "b", Report(second, 1, 1, 1, 0, 0, LIMIT))
+        meter.report(
+            now_ms, "a", UsageReport(7, 1, second, second, 0, 0, LIMIT)
+        )
+        meter.report(now_ms, "b", UsageReport(7, second, 1, 1, 0, 0, LIMIT))
+        meter.report(now_ms, "b", UsageReport(second, 1, 1, 1, 0, 0, LIMIT))
     assert len(meter) < 30
     assert len(meter._metered_by_workspace[7].counted_by_life) < 30
 
@@ -263,7 +269,9 @@
     """Guards against least shares that add up to more than the limit."""
     rate, entries = 300.0, 500
     limit = RateLimit(rate, rate + ALLOWANCE, 1)
-    play = CapPlay("metered", entries, 64, limit, seed=1)
+    play = rate_limit_simulation.RateLimitSimulation(
+        "metered", entries, 64, limit, seed=1
+    )
     rng = random.Random(1)
     for at_ms in arrivals(rng, HOT * rate, 0, 14_000):
         play.send(at_ms, rng.randrange(entries), 7)
--- a/dahliashunt/decisions/tests/test_entry.py
+++ b/dahliashunt/decisions/tests/test_entry.py
@@ -7,7 +7,7 @@
 from dahliashunt.decisions.events import Dispatch
 from dahliashunt.decisions.events import EndpointInfo
 from dahliashunt.decisions.events import EndpointReport
-from dahliashunt.decisions.events import Loss
+from dahliashunt.decisions.events import LossReason
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import Ran
 
@@ -188,7 +188,7 @@
 
 def test_leaving_endpoint_gets_no_more(make_entry, make_request):
     entry = make_entry(("a1", "a2"))
-    entry.endpoint_gone(0, "a1", Loss.LEAVING)
+    entry.endpoint_gone(0, "a1", LossReason.LEAVING)
     sent = [entry.arrive(0, make_request())[0] for _ in range(4)]
     assert {decision.endpoint_id for decision in sent} == {"a2"}
     assert entry.report(1, report("a1")) == []
@@ -201,7 +201,7 @@
     running, waiting = make_request(), make_request()
     entry.arrive(0, running)
     entry.arrive(0, waiting)
-    (out,) = entry.endpoint_gone(5, "a1", Loss.UNREACHABLE)
+    (out,) = entry.endpoint_gone(5, "a1", LossReason.UNREACHABLE)
     assert out.request_id == waiting.request_id
     assert (out.kind, out.ran) == (ErrorKind.NO_ENDPOINT, Ran.NO)
     (out,) = entry.ended(6, running.request_id, AttemptEnd.UNKNOWN)
@@ -210,7 +210,7 @@
 
 def test_crashed_endpoint_comes_back_with_a_report(make_entry, make_request):
     entry = make_entry(("a1",))
-    entry.endpoint_gone(10, "a1", Loss.CRASHED)
+    entry.endpoint_gone(10, "a1", LossReason.CRASHED)
     entry.report(20, report("a1", age_ms=15))
     assert entry.arrive(21, make_request())[0].kind is ErrorKind.NO_ENDPOINT
     entry.report(40, report("a1", age_ms=5))
--- a/dahliashunt/decisions/tests/test_entry_parts.py
+++ b/dahliashunt/decisions/tests/test_entry_parts.py
@@ -12,12 +12,12 @@
 from dahliashunt.decisions.fair import FairOrder
 from dahliashunt.decisions.fair import InFlight
 from dahliashunt.decisions.fleet import Fleet
-from dahliashunt.decisions.limits import Buckets
+from dahliashunt.decisions.limits import TokenBuckets
 from dahliashunt.decisions.model_state import ModelState
 from dahliashunt.decisions.overload import LIMITS
 from dahliashunt.decisions.prefix import PrefixIndex
 from dahliashunt.decisions.queueing import DISCIPLINES
-from dahliashunt.decisions.queueing import Drain
+from dahliashunt.decisions.queueing import DrainRate
 from dahliashunt.decisions.queueing import Waiting
 from dahliashunt.decisions.queueing import WaitingQueue
 from dahliashunt.decisions.routing import ROUTING
@@ -72,7 +72,7 @@
 
 
 def test_request_larger_than_its_burst_goes_and_leaves_a_debt():
-    buckets = Buckets()
+    buckets = TokenBuckets()
     limits = CallerLimits(tokens_a_second=100, burst_s=1.0)
     assert buckets.take(0, "a", 500, limits) == 0
     assert buckets.take(0, "a", 10, limits) == 4_100
@@ -89,7 +89,7 @@
     for tag, by in ((1, 1_000), (2, 250), (3, 420)):
         queue.push(waiting(tag, by))
     predicted = DISCIPLINES.get("predicted")(POLICY)
-    gone = predicted.hopeless(0, queue, Drain(0.005, 0.5))
+    gone = predicted.select_rejected(0, queue, DrainRate(0.005, 0.5))
     assert [w.request_id for w in gone] == ["r2"]
 
 
@@ -99,7 +99,7 @@
     queue = WaitingQueue()
     queue.push(waiting(1))
     predicted = DISCIPLINES.get("predicted")(POLICY)
-    drain = Drain(0.01, 0.25)
+    drain = DrainRate(0.01, 0.25)
     assert predicted.admits(100, queue, 1_000, 4, 400, drain)
     assert not predicted.admits(600, queue, 1_000, 4, 400, drain)
     assert predicted.admits(600, queue, 1_000, 0, 400, drain)
--- a/dahliashunt/decisions/tests/test_entry_random.py
+++ b/dahliashunt/decisions/tests/test_entry_random.py
@@ -10,7 +10,7 @@
 from dahliashunt.decisions.events import Dispatch
 from dahliashunt.decisions.events import EndpointInfo
 from dahliashunt.decisions.events import EndpointReport
-from dahliashunt.decisions.events import Loss
+from dahliashunt.decisions.events import LossReason
 from dahliashunt.errors import Ran
 
 NAMES = ("a1", "a2", "b1", "b2", "c1")
@@ -91,7 +91,7 @@
         name = self.rng.choice(NAMES)
         models = frozenset({"m"}) if self.rng.random() < 0.9 else frozenset()
         if self.rng.random() < 0.3:
-            loss = self.rng.choice(list(Loss))
+            loss = self.rng.choice(list(LossReason))
             self.check(self.entry.endpoint_gone(self.now, name, loss))
         elif self.rng.random() < 0.5:
             info = EndpointInfo(name, name[0], frozenset({"m"}))
--- a/dahliashunt/decisions/tests/test_loss_counts.py
+++ b/dahliashunt/decisions/tests/test_loss_counts.py
@@ -11,9 +11,9 @@
     counts = LossCounts()
     for number in range(MOST_LOSSES):
         began_ms = 100 * number
-        assert not counts.is_convicted("bad", began_ms)
+        assert not counts.is_quarantined("bad", began_ms)
         counts.lost("bad", began_ms, began_ms + 50)
-    assert counts.is_convicted("bad", began_ms + 51)
+    assert counts.is_quarantined("bad", began_ms + 51)
 
 
 def test_a_popular_request_is_not_refused_for_one_cause():
@@ -24,7 +24,7 @@
     for number in range(8):
         counts.lost("popular", 10 * number, 500 + 10 * number)
     assert counts.losses("popular", 600) == 1
-    assert not counts.is_convicted("popular", 600)
+    assert not counts.is_quarantined("popular", 600)
 
 
 def test_a_popular_request_comes_back_after_an_outage():
@@ -32,13 +32,13 @@
     # again and again. Once they are back the first answer clears it.
     counts = LossCounts()
     now_ms = 0
-    while now_ms < 10_000 and not counts.is_convicted("popular", now_ms):
+    while now_ms < 10_000 and not counts.is_quarantined("popular", now_ms):
         counts.lost("popular", now_ms, now_ms + 50)
         now_ms += 200
-    assert counts.is_convicted("popular", now_ms)
-    assert not counts.is_convicted("popular", now_ms + FIRST_TERM_MS)
+    assert counts.is_quarantined("popular", now_ms)
+    assert not counts.is_quarantined("popular", now_ms + FIRST_TERM_MS)
     assert counts.served("popular")
-    assert not counts.is_convicted("popular", now_ms)
+    assert not counts.is_quarantined("popular", now_ms)
 
 
 def test_a_crashing_request_takes_ever_fewer_replicas():
@@ -46,7 +46,7 @@
     counts = LossCounts()
     taken_ms = []
     for now_ms in range(0, 3_600_000, 1_500):
-        if not counts.is_convicted("bad", now_ms):
+        if not counts.is_quarantined("bad", now_ms):
             taken_ms.append(now_ms)
             counts.lost("bad", now_ms, now_ms + 50)
     assert len(taken_ms) <= MOST_LOSSES + 12
@@ -57,7 +57,7 @@
 def test_a_count_of_another_entry_counts_here():
     counts = LossCounts()
     counts.learn("bad", MOST_LOSSES, 0)
-    assert counts.is_convicted("bad", 1)
+    assert counts.is_quarantined("bad", 1)
     counts.learn("bad", 1, 2)
     assert counts.losses("bad", 2) == MOST_LOSSES
 
--- a/dahliashunt/decisions/tests/test_partners.py
+++ b/dahliashunt/decisions/tests/test_partners.py
@@ -5,21 +5,21 @@
 from types import SimpleNamespace
 
 from dahliashunt.decisions.link_choice import choose_links
-from dahliashunt.decisions.partners import draw_outsiders
-from dahliashunt.decisions.partners import MOST_PARTNERS
-from dahliashunt.decisions.partners import OUTSIDERS
+from dahliashunt.decisions.partners import MAX_PARTNERS
+from dahliashunt.decisions.partners import NON_PARTNER_SAMPLES
+from dahliashunt.decisions.partners import sample_non_partners
 
 ENTRIES = [f"entry-{n}" for n in range(173)]
 REPLICAS = [f"replica-{n}" for n in range(127)]
 
 
 def choose_partners(entry, replicas):
-    return choose_links(entry, replicas, MOST_PARTNERS)
+    return choose_links(entry, replicas, MAX_PARTNERS)
 
 
 def test_links_grow_with_the_entries_and_not_with_the_product():
     links = sum(len(choose_partners(one, REPLICAS)) for one in ENTRIES)
-    assert links == len(ENTRIES) * MOST_PARTNERS
+    assert links == len(ENTRIES) * MAX_PARTNERS
     assert links * 5 < len(ENTRIES) * len(REPLICAS)
 
 
@@ -27,7 +27,7 @@
     askers = collections.Counter()
     for one in ENTRIES:
         askers.update(choose_partners(one, REPLICAS))
-    mean = len(ENTRIES) * MOST_PARTNERS / len(REPLICAS)
+    mean = len(ENTRIES) * MAX_PARTNERS / len(REPLICAS)
     assert len(askers) == len(REPLICAS)
     assert max(askers.values()) < 2 * mean
 
@@ -42,7 +42,7 @@
 
 
 def test_a_small_service_is_asked_whole():
-    few = REPLICAS[:MOST_PARTNERS]
+    few = REPLICAS[:MAX_PARTNERS]
     assert set(choose_partners("entry-1", few)) == set(few)
 
 
@@ -52,8 +52,8 @@
     rng = random.Random(1)
     reached = set()
     for _ in range(400):
-        drawn = draw_outsiders(replicas, partners, rng)
-        assert len(drawn) <= OUTSIDERS
+        drawn = sample_non_partners(replicas, partners, rng)
+        assert len(drawn) <= NON_PARTNER_SAMPLES
         reached.update(one.replica_id for one in drawn)
     assert reached == set(REPLICAS) - set(partners)
 
@@ -85,7 +85,7 @@
         return rng.sample(sorted(kept[entry]), 4)
 
     def both(entry, rng):
-        others = draw_outsiders(replicas, kept[entry], rng)
+        others = sample_non_partners(replicas, kept[entry], rng)
         return alone(entry, rng) + [one.replica_id for one in others]
 
     def everywhere(entry, rng):
--- a/dahliashunt/decisions/tests/test_replica_choice.py
+++ b/dahliashunt/decisions/tests/test_replica_choice.py
@@ -44,7 +44,7 @@
 def test_a_replica_without_an_agent_goes_after_any_with_room():
     # A rack lost power. Nobody says that its replicas are busy, so that
     # they look idle, and every request of a wave waits there first.
-    gone = candidate("a", 0, unheard=True)
+    gone = candidate("a", 0, agent_silent=True)
     assert order([gone, candidate("b", 7)]) == ["b", "a"]
     assert order([gone, candidate("b", 8)]) == ["a", "b"]
     for seed in range(5):
--- a/dahliashunt/decisions/tests/test_shared_fleet.py
+++ b/dahliashunt/decisions/tests/test_shared_fleet.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from dahliashunt.decisions import slot_keeper
-from dahliashunt.decisions.slot_keeper import RECENT_MS
+from dahliashunt.decisions import slot_allocator
+from dahliashunt.decisions.slot_allocator import BATCH_COOLDOWN_MS
 from dahliashunt.decisions.tests.shared_fleet import EarliestDue
 from dahliashunt.decisions.tests.shared_fleet import Fleet
 from dahliashunt.decisions.tests.shared_fleet import Load
@@ -48,7 +48,7 @@
 """The former Retry-After: when a slot is next expected."""
 
 ONE_TURN_MS = (700, 1_470)
-"""Retry-After by `return_time`, for holds of 0.7 s."""
+"""Retry-After by `retry_delay`, for holds of 0.7 s."""
 
 MORE_REFUSED = 15
 """One in 200 of some 3,000 online requests: batch may not be bought with
@@ -56,10 +56,10 @@
 
 
 @functools.cache
-def played(load, recent_ms=RECENT_MS, **off):
+def played(load, recent_ms=BATCH_COOLDOWN_MS, **off):
     switches = Switches(**off)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(slot_keeper, "RECENT_MS", recent_ms)
+        patch.setattr(slot_allocator, "BATCH_COOLDOWN_MS", recent_ms)
         return [Fleet(load, seed, switches).play() for seed in SEEDS]
 
 
@@ -99,7 +99,7 @@
 
 def test_without_revokes_a_wave_finds_the_fleet_full():
     # A wave of clerks meets replicas that reports fill for five seconds.
-    off = played(WAVES, keeper=NeverRevokes)
+    off = played(WAVES, allocator=NeverRevokes)
     assert mean(off, "refused") > mean(played(WAVES), "refused") + MORE_REFUSED
 
 
--- a/dahliashunt/decisions/drain.py
+++ b/dahliashunt/decisions/wait_estimator.py
@@ -24,7 +24,7 @@
 
 import random
 
-__all__ = ["Drain"]
+__all__ = ["WaitEstimator"]
 
 # Answers of one endpoint differ by an order of magnitude; this follows a
 # change of mix within some tens of answers.
@@ -36,7 +36,7 @@
 _SURE = 1.65
 
 
-class Drain:
+class WaitEstimator:
     """Estimates from the tokens an answer takes and the step time.
 
     The mean is tokens made over answers ended, unfinished answers
@@ -52,11 +52,11 @@
         self._answers = _PRIOR_ANSWERS
         self._booked_until_ms = 0.0
 
-    def produced(self, tokens: int) -> None:
+    def tokens_generated(self, tokens: int) -> None:
         """Learn that online answers grew."""
         self._tokens += tokens
 
-    def answered(self) -> None:
+    def answer_ended(self) -> None:
         """Learn that an online answer ended."""
         self._tokens *= _KEEP
         self._answers = self._answers * _KEEP + 1
--- a/dahliashunt/entry/batch_order.py
+++ b/dahliashunt/entry/batch_order.py
@@ -5,7 +5,7 @@
 from dahliashunt.batch import order_port
 from dahliashunt.decisions.batch_order import BatchOrder
 from dahliashunt.decisions.batch_order import BatchOrderPolicy
-from dahliashunt.decisions.batch_queue import JobShape
+from dahliashunt.decisions.batch_queue import JobDemand
 
 __all__ = ["DecidedOrder", "make_order"]
 
@@ -19,11 +19,11 @@
     def __init__(self, order: BatchOrder):
         self._order = order
 
-    def job(self, now: int, shape: order_port.JobShape) -> None:
+    def job(self, now: int, shape: order_port.JobDemand) -> None:
         """Take note of a job, or of how it has changed."""
         self._order.job(
             now,
-            JobShape(
+            JobDemand(
                 job_id=shape.job_id,
                 caller=shape.caller,
                 model=shape.model,
@@ -33,9 +33,9 @@
             ),
         )
 
-    def job_gone(self, job_id) -> None:
+    def remove_job(self, job_id) -> None:
         """Forget a job."""
-        self._order.job_gone(job_id)
+        self._order.remove_job(job_id)
 
     def choose(self, now: int, room_by_model) -> list[order_port.Grant]:
         """Return whose items to start in the room there is."""
--- a/dahliashunt/entry/dispatcher.py
+++ b/dahliashunt/entry/dispatcher.py
@@ -11,13 +11,13 @@
 from dahliashunt.adapters.wire.gen.link.ttypes import Frame
 from dahliashunt.adapters.wire.gen.link.ttypes import Leaving
 from dahliashunt.adapters.wire.gen.link.ttypes import Outcome
-from dahliashunt.decisions.batch_places import BatchPlaces
+from dahliashunt.decisions.batch_placement import BatchPlacement
 from dahliashunt.decisions.batch_suspects import BatchSuspects
-from dahliashunt.decisions.batch_suspects import RunHow
+from dahliashunt.decisions.batch_suspects import RunMode
 from dahliashunt.decisions.entry_policy import EntryPolicy
 from dahliashunt.decisions.events import AttemptEnd
 from dahliashunt.decisions.events import Dispatch
-from dahliashunt.decisions.events import GiveUp
+from dahliashunt.decisions.events import FailRequest
 from dahliashunt.entry.agent_link import LinkCut
 from dahliashunt.entry.agent_link import LinkDown
 from dahliashunt.entry.agent_link import LinkFrames
@@ -88,7 +88,7 @@
         self.on_convictions = lambda convictions: None
         self._told_leaving: frozenset[EndpointId] = frozenset()
         self._batch_suspects = BatchSuspects(EntryPolicy())
-        self.places = BatchPlaces()
+        self.places = BatchPlacement()
         self.endpoints = EndpointBook(decisions, self.places, log)
         self._calls_by_id: dict[str, OnlineCall] = {}
         self._attempts = Attempts(self)
@@ -179,7 +179,7 @@
                 continue
             if isinstance(decision, Dispatch):
                 self._dispatch(call, decision)
-            elif isinstance(decision, GiveUp):
+            elif isinstance(decision, FailRequest):
                 self._give_up(call, decision)
 
     def _dispatch(self, call, decision):
@@ -375,10 +375,10 @@
         opening = call.opening
         now = self._clock.now_ms()
         how = self._batch_suspects.how(now, opening.fingerprint)
-        if how is RunHow.NOT_AT_ALL:
+        if how is RunMode.REFUSED:
             call.replies.put((None, _convicted_outcome()))
             return
-        opening.alone = how is RunHow.ALONE
+        opening.alone = how is RunMode.ALONE
         opening.attempt_id = call.attempt_id = self._new_id()
         endpoint_id = self.places.choose(opening.model)
         link = self.endpoints.link_of(endpoint_id)
--- a/dahliashunt/entry/endpoint_book.py
+++ b/dahliashunt/entry/endpoint_book.py
@@ -11,10 +11,10 @@
 import enum
 
 from dahliashunt.adapters.wire.gen.link.ttypes import LoadReport
-from dahliashunt.decisions.batch_places import BatchPlaces
+from dahliashunt.decisions.batch_placement import BatchPlacement
 from dahliashunt.decisions.events import EndpointInfo
 from dahliashunt.decisions.events import EndpointReport
-from dahliashunt.decisions.events import Loss
+from dahliashunt.decisions.events import LossReason
 from dahliashunt.entry.agent_link import AgentLink
 from dahliashunt.ids import EndpointId
 from dahliashunt.ids import ModelId
@@ -33,11 +33,11 @@
 
 
 _LOSS_BY_REASON = {
-    Unusable.CUT: Loss.UNREACHABLE,
-    Unusable.DOWN: Loss.UNREACHABLE,
-    Unusable.LEAVING: Loss.LEAVING,
-    Unusable.LISTED_LEAVING: Loss.LEAVING,
-    Unusable.DRAINED: Loss.LEAVING,
+    Unusable.CUT: LossReason.UNREACHABLE,
+    Unusable.DOWN: LossReason.UNREACHABLE,
+    Unusable.LEAVING: LossReason.LEAVING,
+    Unusable.LISTED_LEAVING: LossReason.LEAVING,
+    Unusable.DRAINED: LossReason.LEAVING,
 }
 
 
@@ -73,11 +73,11 @@
     Parameters
     ----------
     decisions : EntryDecisions
-    places : BatchPlaces
+    places : BatchPlacement
     log : structlog logger
     """
 
-    def __init__(self, decisions, places: BatchPlaces, log):
+    def __init__(self, decisions, places: BatchPlacement, log):
         self.by_id: dict[EndpointId, Endpoint] = {}
         self._decisions = decisions
         self._places = places
@@ -118,7 +118,7 @@
         if reasons:
             self._places.gone(link.endpoint_id)
             return self._decisions.endpoint_gone(
-                now, link.endpoint_id, Loss.LEAVING
+                now, link.endpoint_id, LossReason.LEAVING
             )
         self._log.info("endpoint_up", endpoint=link.endpoint_id)
         decided = self._decisions.endpoint_up(now, info)
--- a/dahliashunt/entry/tests/test_endpoint_book.py
+++ b/dahliashunt/entry/tests/test_endpoint_book.py
@@ -6,7 +6,7 @@
 
 from dahliashunt.adapters.wire.gen.link.ttypes import Hello
 from dahliashunt.adapters.wire.gen.link.ttypes import LoadReport
-from dahliashunt.decisions.batch_places import BatchPlaces
+from dahliashunt.decisions.batch_placement import BatchPlacement
 from dahliashunt.decisions.entry import EntryDecisions
 from dahliashunt.decisions.entry_policy import EntryPolicy
 from dahliashunt.decisions.events import Dispatch
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def places():
-    return BatchPlaces()
+    return BatchPlacement()
 
 
 @pytest.fixture
--- a/dahliashunt/forwarding/__init__.py
+++ b/dahliashunt/forwarding/__init__.py
@@ -9,7 +9,7 @@
     "Engine": "catalog",
     "IngressLimits": "catalog",
     "Replica": "replicas",
-    "ReplicaBook": "replicas",
+    "ReplicaRegistry": "replicas",
     "Route": "catalog",
     "RouteKind": "catalog",
     "Service": "catalog",
--- a/dahliashunt/forwarding/attempt.py
+++ b/dahliashunt/forwarding/attempt.py
@@ -7,9 +7,9 @@
 from dahliashunt.forwarding.call_state import CallState
 from dahliashunt.forwarding.call_state import HeldAnswer
 from dahliashunt.forwarding.catalog import RouteKind
-from dahliashunt.forwarding.events import EventCutter
 from dahliashunt.forwarding.events import EventOutOfOrder
-from dahliashunt.forwarding.ports import AnswerSink
+from dahliashunt.forwarding.events import EventSplitter
+from dahliashunt.forwarding.ports import ResponseSink
 from dahliashunt.forwarding.replicas import Replica
 
 __all__ = ["Attempt"]
@@ -45,7 +45,7 @@
     shared : Forwarder
     state : CallState
         Brought up to date as the attempt goes on.
-    sink : AnswerSink
+    sink : ResponseSink
     replica : Replica
     has_elsewhere : coroutine function
         Tells whether a place at another replica is held now; only then a
@@ -56,7 +56,7 @@
         self,
         shared,
         state: CallState,
-        sink: AnswerSink,
+        sink: ResponseSink,
         replica: Replica,
         has_elsewhere,
     ):
@@ -214,7 +214,7 @@
         if self._state.started:
             return
         self._state.started = True
-        headers = self._shared.dialect.relayed(head)
+        headers = self._shared.dialect.relayed_headers(head)
         await self._sink.start(head.status, headers, length)
         waited_ms = self._clock.now_ms() - self._state.call.arrived_ms
         self._state.first_ms = waited_ms
@@ -223,7 +223,7 @@
         )
 
     async def _relay_stream(self, connection, box, head):
-        cutter = EventCutter()
+        cutter = EventSplitter()
         while True:
             events = await self._take(box, self._pause_ms())
             if not events:
--- a/dahliashunt/forwarding/events.py
+++ b/dahliashunt/forwarding/events.py
@@ -9,7 +9,7 @@
 
 from dahliashunt.errors import EngineError
 
-__all__ = ["Event", "EventCutter", "EventOutOfOrder"]
+__all__ = ["Event", "EventOutOfOrder", "EventSplitter"]
 
 MAX_EVENT_BYTES = 1_048_576
 """A longer event is taken for a broken stream."""
@@ -44,7 +44,7 @@
         return "\n".join(parts)
 
 
-class EventCutter:
+class EventSplitter:
     r"""Collects bytes and returns the events that are whole.
 
     Only whole events are passed on: a replica may stop in the middle of
@@ -53,7 +53,7 @@
 
     Examples
     --------
-    >>> cutter = EventCutter()
+    >>> cutter = EventSplitter()
     >>> cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda")[0].number
     1
     >>> cutter.rest
--- a/dahliashunt/forwarding/explain.py
+++ b/dahliashunt/forwarding/explain.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from dahliashunt.decisions.return_time import TURNS
+from dahliashunt.decisions.retry_delay import RETRY_DELAY_HOLDS
 from dahliashunt.forwarding.catalog import BrokenRoute
 from dahliashunt.forwarding.catalog import Route
 from dahliashunt.forwarding.replica_view import ReplicaState
@@ -39,7 +39,7 @@
     Parameters
     ----------
     node : Node
-    places : Places
+    places : ReplicaSelector
     known : KnownReplicas
     """
 
@@ -79,7 +79,7 @@
     def _version(self):
         node = self._node
         now_ms = node.clock.now_ms()
-        heard_ms = node.config_heard()
+        heard_ms = node.config_read_ms()
         return {
             "version": node.catalog and node.catalog.revision,
             "in_force_ms": _age(now_ms, node.adopted_ms),
@@ -96,15 +96,15 @@
 
     def _service(self, route, name, weight):
         service = self._node.catalog.service_by_name.get(name)
-        keeps = self._node.keeps_slots(name) if service else False
+        with_agents = self._node.has_agents(name) if service else False
         replicas = self._known.views(name)
-        outcome = self._outcome(route, name, replicas, keeps)
+        outcome = self._outcome(route, name, replicas, with_agents)
         places = Counter(each.data_centre for each in replicas)
         usable = [r for r in replicas if r.state is ReplicaState.USABLE]
         return {
             "name": name,
             "weight": weight,
-            "has_agents": keeps,
+            "has_agents": with_agents,
             "replicas": len(replicas),
             "by_data_centre": dict(sorted(places.items())),
             "usable": len(usable),
@@ -114,11 +114,11 @@
             "retry_after_ms": outcome.retry_after_ms,
         }
 
-    def _outcome(self, route, service, replicas, keeps):
+    def _outcome(self, route, service, replicas, with_agents):
         if not replicas:
             return _Outcome("refused: the service has no replica")
         usable = [r for r in replicas if r.state is ReplicaState.USABLE]
-        if not keeps or not usable:
+        if not with_agents or not usable:
             return _Outcome("sent to a replica without asking an agent", 0)
         if any(each.free > 0 for each in usable):
             return _Outcome("taken at once", 0)
@@ -128,7 +128,7 @@
         if wait_ms <= route.objective_ms:
             return _Outcome(f"waits about {wait_ms} ms for a slot", wait_ms)
         hold_ms = self._places.hold_ms(service)
-        least, most = (int(hold_ms * turn) for turn in TURNS)
+        least, most = (int(hold_ms * turn) for turn in RETRY_DELAY_HOLDS)
         return _Outcome(
             f"refused, with a Retry-After of {least} to {most} ms",
             wait_ms,
--- a/dahliashunt/forwarding/forwarder.py
+++ b/dahliashunt/forwarding/forwarder.py
@@ -28,14 +28,14 @@
 from dahliashunt.forwarding.catalog import RouteKind
 from dahliashunt.forwarding.losses import digest_of
 from dahliashunt.forwarding.losses import SharedLosses
-from dahliashunt.forwarding.place import Want
-from dahliashunt.forwarding.placing import Places
-from dahliashunt.forwarding.ports import AnswerSink
 from dahliashunt.forwarding.ports import ReplicaDialect
+from dahliashunt.forwarding.ports import ResponseSink
+from dahliashunt.forwarding.replica_selector import ReplicaSelector
+from dahliashunt.forwarding.reservation import SlotRequirements
 from dahliashunt.metrics import Metrics
 from dahliashunt.ports import Clock
 
-__all__ = ["AnswerCut", "Forwarder"]
+__all__ = ["Forwarder", "ResponseTruncated"]
 
 START_MS = 40
 """Time a placed request needs to its first event on an idle slot: connect,
@@ -55,7 +55,7 @@
 """Replicas tried one after another that proved not to have run it."""
 
 
-class AnswerCut(RequestError):
+class ResponseTruncated(RequestError):
     """An answer broke off after its start; it must not look whole."""
 
 
@@ -64,7 +64,7 @@
 
     Parameters
     ----------
-    places : Places
+    places : ReplicaSelector
     pool : ConnectionPool
     dialect : ReplicaDialect
     suspicion : Suspicion
@@ -76,7 +76,7 @@
 
     def __init__(
         self,
-        places: Places,
+        places: ReplicaSelector,
         pool: ConnectionPool,
         dialect: ReplicaDialect,
         suspicion: Suspicion,
@@ -96,7 +96,7 @@
         self.waits = CallerWaits()
 
     async def serve(
-        self, call: Call, route: Route, keeps: bool, sink: AnswerSink
+        self, call: Call, route: Route, with_agents: bool, sink: ResponseSink
     ) -> None:
         """Answer `call` into `sink`.
 
@@ -106,10 +106,10 @@
         ------
         RequestError
             There is no answer; nothing was sent to `sink`.
-        AnswerCut
+        ResponseTruncated
             The answer broke off.
         """
-        await _Run(self, call, route, keeps, sink).serve()
+        await _Run(self, call, route, with_agents, sink).serve()
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,12 +126,12 @@
 class _Run:
     """One call on its way."""
 
-    def __init__(self, shared, call, route, keeps, sink):
+    def __init__(self, shared, call, route, with_agents, sink):
         self._shared = shared
         self._clock = shared.clock
         self._call = call
         self._route = route
-        self._keeps = keeps
+        self._keeps = with_agents
         self._sink = sink
         budget_ms = route.timeout_ms
         if call.budget_ms is not None:
@@ -163,39 +163,39 @@
     async def _serve(self):
         while True:
             self._refuse_convicted()
-            place, self._next_place = self._next_place, None
-            if place is None:
-                place = await self._place()
+            reservation, self._next_place = self._next_place, None
+            if reservation is None:
+                reservation = await self._place()
             self._placed_ms = self._age_ms()
             began_ms = self._clock.now_ms()
             try:
-                end = await self._attempt(place.replica)
+                end = await self._attempt(reservation.replica)
             finally:
-                place.release()
+                reservation.release()
             if end is AttemptEnd.SERVED:
-                self._shared.suspicion.served(place.replica.life)
+                self._shared.suspicion.served(reservation.replica.incarnation)
                 self._shared.losses.served(self._digest)
                 self._note(
                     "served",
-                    replica=place.replica.replica_id,
-                    data_centre=place.replica.data_centre,
-                    kept=bool(place.attempt_id),
+                    replica=reservation.replica.replica_id,
+                    data_centre=reservation.replica.data_centre,
+                    kept=bool(reservation.attempt_id),
                     placed_ms=self._placed_ms,
                     first_ms=self._state.first_ms,
                     total_ms=self._age_ms(),
                 )
                 return
-            self._judge(place.replica, end, began_ms)
+            self._judge(reservation.replica, end, began_ms)
             if not self._may_go_on(end):
                 await self._give_up(end)
                 return
 
     def _refuse_convicted(self):
         """End a request that was lost with each replica so far."""
-        if not self._shared.losses.is_convicted(self._digest):
+        if not self._shared.losses.is_quarantined(self._digest):
             return
         self._note("convicted", digest=self._digest)
-        kind = AnswerCut if self._state.started else RequestError
+        kind = ResponseTruncated if self._state.started else RequestError
         raise kind(
             ErrorKind.OUTCOME_UNKNOWN,
             "each replica that ran this request was lost",
@@ -215,7 +215,7 @@
 
     async def _find(self, patience, avoid):
         affinity = self._call.shared_parts
-        want = Want(
+        requirements = SlotRequirements(
             service=self._service,
             use=Use.ONLINE,
             affinity=affinity[-1] if affinity else "",
@@ -226,7 +226,7 @@
             rank=self._rank,
         )
         return await self._shared.places.find(
-            want, self._call.request_id, self._keeps
+            requirements, self._call.request_id, self._keeps
         )
 
     def _patience(self):
@@ -245,7 +245,9 @@
         """Turn a missing place into the answer that is true by now."""
         self._note("refused", reason=error.kind.value)
         if self._state.started:
-            raise AnswerCut(error.kind, error.message, Ran.YES) from None
+            raise ResponseTruncated(
+                error.kind, error.message, Ran.YES
+            ) from None
         if self._state.ran:
             raise RequestError(
                 ErrorKind.ENDPOINT_LOST,
@@ -256,7 +258,7 @@
 
     async def _attempt(self, replica):
         async def has_elsewhere():
-            avoid = {*self._tried, replica.life}
+            avoid = {*self._tried, replica.incarnation}
             try:
                 self._next_place = await self._find(_NO_PATIENCE, avoid)
             except RequestError:
@@ -271,13 +273,13 @@
     # After an attempt.
 
     def _judge(self, replica, end, began_ms):
-        self._tried.add(replica.life)
+        self._tried.add(replica.incarnation)
         if end is AttemptEnd.LOST:
             request_id = self._call.request_id
             self._shared.losses.lost(self._digest, request_id, began_ms)
         if end is not AttemptEnd.TIMED_OUT:
             now_ms = self._clock.now_ms()
-            self._shared.suspicion.failed(replica.life, now_ms)
+            self._shared.suspicion.failed(replica.incarnation, now_ms)
         self._note("attempt_ended", replica=replica.replica_id, end=end.value)
 
     def _may_go_on(self, end):
@@ -298,7 +300,7 @@
     async def _give_up(self, end):
         self._note("gave_up", end=end.value)
         if self._state.started:
-            raise AnswerCut(
+            raise ResponseTruncated(
                 ErrorKind.ENDPOINT_LOST, "the answer broke off", Ran.YES
             )
         if self._state.held is not None:
@@ -322,7 +324,7 @@
 
     async def _send_held(self):
         held = self._state.held
-        headers = self._shared.dialect.relayed(held.head)
+        headers = self._shared.dialect.relayed_headers(held.head)
         await self._sink.start(held.head.status, headers, len(held.body))
         await self._sink.send(held.body)
         await self._sink.end()
--- a/dahliashunt/forwarding/known_replicas.py
+++ b/dahliashunt/forwarding/known_replicas.py
@@ -10,7 +10,7 @@
 from dahliashunt.forwarding.replica_view import ReplicaState
 from dahliashunt.forwarding.replica_view import ReplicaView
 from dahliashunt.forwarding.replicas import Replica
-from dahliashunt.forwarding.replicas import ReplicaBook
+from dahliashunt.forwarding.replicas import ReplicaRegistry
 from dahliashunt.ports import Clock
 
 __all__ = ["KnownReplicas"]
@@ -24,7 +24,7 @@
 
     Parameters
     ----------
-    book : ReplicaBook
+    registry : ReplicaRegistry
     partners : Partners
         Which replicas of a service are asked first.
     slots : SlotClient
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        book: ReplicaBook,
+        registry: ReplicaRegistry,
         partners: Partners,
         slots: SlotClient,
         suspicion: Suspicion,
@@ -50,7 +50,7 @@
         agent_port: int,
         is_connected=lambda address: False,
     ):
-        self._book = book
+        self._registry = registry
         self._partners = partners
         self._slots = slots
         self._suspicion = suspicion
@@ -63,19 +63,19 @@
 
     def services(self):
         """Return the services that have replicas."""
-        return self._book.services()
+        return self._registry.services()
 
     def listed(self, service: str) -> tuple[Replica, ...]:
         """Return every usable replica of `service`."""
-        return self._book.of_service(service)
+        return self._registry.of_service(service)
 
     def partners(self, service: str) -> tuple[Replica, ...]:
         """Return the replicas that are asked first."""
         return self._partners.of_service(service)
 
-    def lives(self) -> set:
+    def incarnations(self) -> set:
         """Return the lives of all replicas that are listed."""
-        return {replica.life for replica in self._book.all()}
+        return {replica.incarnation for replica in self._registry.all()}
 
     def agent(self, replica: Replica) -> tuple[str, int]:
         """Return where the replica's agent listens."""
@@ -87,15 +87,15 @@
 
     def own(self, replica: Replica) -> int:
         """Return how many requests of this entry it has."""
-        return self._own_by_life.get(replica.life, 0)
+        return self._own_by_life.get(replica.incarnation, 0)
 
     def count(self, replica: Replica, by: int) -> None:
         """Add to the requests of this entry there."""
         count = self.own(replica) + by
         if count > 0:
-            self._own_by_life[replica.life] = count
+            self._own_by_life[replica.incarnation] = count
         else:
-            self._own_by_life.pop(replica.life, None)
+            self._own_by_life.pop(replica.incarnation, None)
 
     def ordered(self, replicas, affinity: str) -> list[Replica]:
         """Return `replicas`, best first."""
@@ -108,7 +108,7 @@
     def _candidate(self, replica, now_ms):
         own = self.own(replica)
         known = self.load(replica)
-        avoided = self._suspicion.is_avoided(replica.life, now_ms)
+        avoided = self._suspicion.is_avoided(replica.incarnation, now_ms)
         taken, batch, age_ms = own, 0, UNHEARD_AGE_MS
         if known is not None:
             taken = max(own, known.state.online + known.state.waiting)
@@ -122,9 +122,9 @@
             age_ms=age_ms,
             avoided=avoided,
             near=replica.data_centre == self._data_centre,
-            cold=self._book.is_cold(replica, now_ms),
+            cold=self._registry.is_cold(replica, now_ms),
             batch=batch,
-            unheard=self._slots.is_silent(self.agent(replica)),
+            agent_silent=self._slots.is_silent(self.agent(replica)),
             connected=self._is_connected(replica.address),
         )
 
@@ -164,11 +164,11 @@
     def _state(self, replica, load, now_ms):
         if load is not None and load.away:
             return ReplicaState.ABSENT
-        if self._suspicion.is_avoided(replica.life, now_ms):
+        if self._suspicion.is_avoided(replica.incarnation, now_ms):
             return ReplicaState.SUSPECTED
         if self._slots.is_silent(self.agent(replica)):
             return ReplicaState.AGENT_SILENT
-        if self._book.is_cold(replica, now_ms):
+        if self._registry.is_cold(replica, now_ms):
             return ReplicaState.COLD
         if load is None:
             return ReplicaState.UNHEARD
--- a/dahliashunt/forwarding/losses.py
+++ b/dahliashunt/forwarding/losses.py
@@ -77,9 +77,9 @@
         if self._counts.served(digest):
             self._put(digest)
 
-    def is_convicted(self, digest: Fingerprint) -> bool:
+    def is_quarantined(self, digest: Fingerprint) -> bool:
         """Tell whether the request is not to be sent any more."""
-        return self._counts.is_convicted(digest, self._clock.now_ms())
+        return self._counts.is_quarantined(digest, self._clock.now_ms())
 
     def _put(self, digest):
         if not self._queue.full():
--- a/dahliashunt/forwarding/node.py
+++ b/dahliashunt/forwarding/node.py
@@ -4,19 +4,19 @@
 import contextlib
 import random
 
-from dahliashunt.decisions.return_time import return_after_outage_ms
+from dahliashunt.decisions.retry_delay import outage_retry_delay_ms
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import Ran
 from dahliashunt.errors import RequestError
 from dahliashunt.forwarding.call import Call
-from dahliashunt.forwarding.caps import Caps
 from dahliashunt.forwarding.catalog import BrokenRoute
 from dahliashunt.forwarding.catalog import Catalog
 from dahliashunt.forwarding.catalog import Route
-from dahliashunt.forwarding.forwarder import AnswerCut
 from dahliashunt.forwarding.forwarder import Forwarder
-from dahliashunt.forwarding.ports import AnswerSink
-from dahliashunt.forwarding.replicas import ReplicaBook
+from dahliashunt.forwarding.forwarder import ResponseTruncated
+from dahliashunt.forwarding.ports import ResponseSink
+from dahliashunt.forwarding.rate_limiter import RateLimiter
+from dahliashunt.forwarding.replicas import ReplicaRegistry
 from dahliashunt.forwarding.workspaces import BrokenWorkspace
 from dahliashunt.forwarding.workspaces import Workspace
 from dahliashunt.metrics import Metrics
@@ -55,7 +55,7 @@
         When it came into force here.
     former : Catalog or None
         The one before it.
-    book : ReplicaBook
+    registry : ReplicaRegistry
     leaving : asyncio.Event
         Set when this node was told to stop.
     """
@@ -66,20 +66,20 @@
         rng: random.Random,
         metrics: Metrics,
         log,
-        book: ReplicaBook,
+        registry: ReplicaRegistry,
     ):
         self.clock = clock
         self.rng = rng
         self.metrics = metrics
         self.log = log
-        self.book = book
+        self.registry = registry
         self.catalog: Catalog | None = None
         self.adopted_ms: int | None = None
         self.former: Catalog | None = None
         self.forwarder: Forwarder | None = None
-        self.caps: Caps | None = None
+        self.caps: RateLimiter | None = None
         self.leaving = asyncio.Event()
-        self.config_heard = lambda: None
+        self.config_read_ms = lambda: None
         self._in_flight = 0
         self._started_ms = clock.now_ms()
         self._configured = asyncio.Event()
@@ -147,7 +147,7 @@
                 reason=workspace.reason,
             )
 
-    async def first_read(self) -> None:
+    async def wait_until_configured(self) -> None:
         """Wait for the first configuration if this node has just started.
 
         The failure it guards against: after a restart of everything
@@ -188,17 +188,19 @@
             raise RequestError(
                 ErrorKind.STORE_UNAVAILABLE,
                 "no configuration was read yet",
-                retry_after_ms=return_after_outage_ms(
+                retry_after_ms=outage_retry_delay_ms(
                     self.clock.now_ms() - self._started_ms, self.rng
                 ),
             )
 
     @property
-    def asks_for_keys(self) -> bool:
+    def requires_keys(self) -> bool:
         """Whether the configuration in force has workspaces."""
         return self.catalog is not None and self.catalog.workspaces is not None
 
-    def caller_on(self, route: Route, key: str | None) -> Workspace | None:
+    def caller_for_route(
+        self, route: Route, key: str | None
+    ) -> Workspace | None:
         """Return in whose name a request on `route` runs; None for nobody.
 
         Raises
@@ -206,11 +208,11 @@
         RequestError
             The route wants a key and the caller has none that is known.
         """
-        if route.public and self.asks_for_keys:
-            found = self.catalog.workspaces.of_key(key or "")
+        if route.public and self.requires_keys:
+            found = self.catalog.workspaces.find_by_key(key or "")
             return found if isinstance(found, Workspace) else None
         workspace = self.caller(key)
-        self.demand_key(workspace)
+        self.require_key(workspace)
         return workspace
 
     def caller(self, key: str | None) -> Workspace | None:
@@ -225,7 +227,7 @@
         workspaces = self.catalog.workspaces
         if workspaces is None or key is None:
             return None
-        found = workspaces.of_key(key)
+        found = workspaces.find_by_key(key)
         if isinstance(found, Workspace):
             return found
         if isinstance(found, BrokenWorkspace):
@@ -236,18 +238,18 @@
             raise _unsure("some workspace's keys can't be read")
         raise RequestError(ErrorKind.UNAUTHENTICATED, "nobody has this key")
 
-    def demand_key(self, workspace: Workspace | None) -> None:
+    def require_key(self, workspace: Workspace | None) -> None:
         """Raise unless a caller is known or none has to be."""
-        if workspace is None and self.asks_for_keys:
+        if workspace is None and self.requires_keys:
             raise RequestError(ErrorKind.UNAUTHENTICATED, "a key is wanted")
 
     def is_stale(self) -> bool:
         """Tell whether the store was not heard of for `STALE_MS`."""
-        heard_ms = self.config_heard()
+        heard_ms = self.config_read_ms()
         now_ms = self.clock.now_ms()
         return heard_ms is None or now_ms - heard_ms > STALE_MS
 
-    def keeps_slots(self, service: str) -> bool:
+    def has_agents(self, service: str) -> bool:
         """Tell whether replicas of `service` have agents beside them."""
         found = self.catalog.service_by_name.get(service)
         return found is not None and found.engine is not None
@@ -256,7 +258,7 @@
         self,
         call: Call,
         route: Route,
-        sink: AnswerSink,
+        sink: ResponseSink,
         workspace: Workspace | None = None,
     ) -> None:
         """Answer `call` within its workspace's limit.
@@ -267,10 +269,10 @@
         if workspace is not None and self.caps is not None:
             await self.caps.admit(workspace, revision, call.request_id)
         service = route.service_for(call.request_id)
-        keeps = self.keeps_slots(service)
+        with_agents = self.has_agents(service)
         try:
-            await self.forwarder.serve(call, route, keeps, sink)
-        except AnswerCut:
+            await self.forwarder.serve(call, route, with_agents, sink)
+        except ResponseTruncated:
             raise
         except RequestError as error:
             if error.ran is Ran.NO and workspace and self.caps is not None:
--- a/dahliashunt/forwarding/partners.py
+++ b/dahliashunt/forwarding/partners.py
@@ -1,9 +1,9 @@
 """An entry's partners in each service, as the list stands."""
 
 from dahliashunt.decisions.link_choice import choose_links
-from dahliashunt.decisions.partners import MOST_PARTNERS
+from dahliashunt.decisions.partners import MAX_PARTNERS
 from dahliashunt.forwarding.replicas import Replica
-from dahliashunt.forwarding.replicas import ReplicaBook
+from dahliashunt.forwarding.replicas import ReplicaRegistry
 from dahliashunt.ids import NodeId
 
 __all__ = ["Partners"]
@@ -14,19 +14,19 @@
 
     Parameters
     ----------
-    book : ReplicaBook
+    registry : ReplicaRegistry
     node_id : NodeId
         Of this entry.
     """
 
-    def __init__(self, book: ReplicaBook, node_id: NodeId):
-        self._book = book
+    def __init__(self, registry: ReplicaRegistry, node_id: NodeId):
+        self._registry = registry
         self._node_id = node_id
         self._chosen_by_service: dict[str, tuple[tuple, tuple]] = {}
 
     def of_service(self, service: str) -> tuple[Replica, ...]:
         """Return the replicas of `service` that this entry asks first."""
-        listed = self._book.of_service(service)
+        listed = self._registry.of_service(service)
         held = self._chosen_by_service.get(service)
         if held is not None and held[0] is listed:
             return held[1]
@@ -35,8 +35,8 @@
         return chosen
 
     def _choose(self, listed):
-        if len(listed) <= MOST_PARTNERS:
+        if len(listed) <= MAX_PARTNERS:
             return listed
         ids = (replica.replica_id for replica in listed)
-        chosen = choose_links(self._node_id, ids, MOST_PARTNERS)
+        chosen = choose_links(self._node_id, ids, MAX_PARTNERS)
         return tuple(one for one in listed if one.replica_id in chosen)
--- a/dahliashunt/forwarding/ports.py
+++ b/dahliashunt/forwarding/ports.py
@@ -6,7 +6,7 @@
 from dahliashunt.forwarding.call import Call
 from dahliashunt.forwarding.replicas import Replica
 
-__all__ = ["AnswerSink", "ReplicaDialect"]
+__all__ = ["ReplicaDialect", "ResponseSink"]
 
 
 class ReplicaDialect(Protocol):
@@ -26,11 +26,11 @@
     def is_signed(self, head: ResponseHead) -> bool:
         """Tell whether the answer bears its replica's signature."""
 
-    def relayed(self, head: ResponseHead) -> list[tuple[str, str]]:
+    def relayed_headers(self, head: ResponseHead) -> list[tuple[str, str]]:
         """Return the headers that go on to the caller."""
 
 
-class AnswerSink(Protocol):
+class ResponseSink(Protocol):
     """Takes one answer towards a caller, in order."""
 
     async def start(
--- a/dahliashunt/forwarding/caps.py
+++ b/dahliashunt/forwarding/rate_limiter.py
@@ -8,14 +8,14 @@
 from dahliashunt.adapters.slots import SlotClient
 from dahliashunt.decisions.link_choice import choose_links
 from dahliashunt.decisions.link_choice import rendezvous_rank
-from dahliashunt.decisions.metered import METERS
-from dahliashunt.decisions.rate_limits import Asked
+from dahliashunt.decisions.metered import METERS_PER_WORKSPACE
+from dahliashunt.decisions.rate_limits import PendingVerdict
 from dahliashunt.decisions.rate_limits import RateLimit
 from dahliashunt.decisions.rate_limits import Refused
-from dahliashunt.decisions.rate_limits import UseView
+from dahliashunt.decisions.rate_limits import UsageView
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import RequestError
-from dahliashunt.forwarding.replicas import ReplicaBook
+from dahliashunt.forwarding.replicas import ReplicaRegistry
 from dahliashunt.forwarding.workspaces import Workspace
 from dahliashunt.ids import RequestId
 from dahliashunt.ids import Revision
@@ -23,7 +23,7 @@
 from dahliashunt.metrics import Metrics
 from dahliashunt.ports import Clock
 
-__all__ = ["Caps", "Counts", "MeterChoice", "RecentCounts"]
+__all__ = ["Counts", "MeterSelector", "RateLimiter", "RecentCounts"]
 
 TICK_MS = 25
 """Between looks at questions without answer and untold counts."""
@@ -41,7 +41,7 @@
 """What operators are shown of each workspace's decisions."""
 
 
-class MeterChoice:
+class MeterSelector:
     """Which agents count a workspace's requests.
 
     Chosen by rendezvous among the machines of replicas that have agents, so
@@ -50,19 +50,21 @@
 
     Parameters
     ----------
-    book : ReplicaBook
+    registry : ReplicaRegistry
     has_agents : callable
         Tells whether a service's replicas have agents beside them.
     """
 
-    def __init__(self, book: ReplicaBook, has_agents: Callable[[str], bool]):
-        self._book = book
+    def __init__(
+        self, registry: ReplicaRegistry, has_agents: Callable[[str], bool]
+    ):
+        self._registry = registry
         self._has_agents = has_agents
         self._lists: tuple = ()
         self._hosts: frozenset[str] = frozenset()
         self._chosen: dict[int, tuple[str, ...]] = {}
 
-    def of_workspace(self, workspace: int) -> tuple[str, ...]:
+    def hosts_for(self, workspace: int) -> tuple[str, ...]:
         """Return the hosts of a workspace's meters, most wanted first."""
         self._refresh()
         chosen = self._chosen.get(workspace)
@@ -74,12 +76,14 @@
                 key=lambda host: rendezvous_rank(str(workspace), host),
                 reverse=True,
             )
-            chosen = self._chosen[workspace] = tuple(ranked[:METERS])
+            chosen = self._chosen[workspace] = tuple(
+                ranked[:METERS_PER_WORKSPACE]
+            )
         return chosen
 
     def _refresh(self):
-        services = sorted(filter(self._has_agents, self._book.services()))
-        lists = tuple(self._book.of_service(name) for name in services)
+        services = sorted(filter(self._has_agents, self._registry.services()))
+        lists = tuple(self._registry.of_service(name) for name in services)
         if _same(lists, self._lists):
             return
         self._lists = lists
@@ -149,13 +153,13 @@
     limit: RateLimit
 
 
-class Caps:
+class RateLimiter:
     """Lets requests in, or refuses them with the time to come back.
 
     Parameters
     ----------
     policy : object
-        Of `CAPS`.
+        Of `RATE_LIMIT_POLICIES`.
     slots : SlotClient
         Carries reports and readings.
     agent_port : int
@@ -204,7 +208,7 @@
             return
         key = _key(workspace.workspace_id)
         found = self._policy.take(self._clock.now_ms(), key, limit)
-        if isinstance(found, Asked):
+        if isinstance(found, PendingVerdict):
             answer = asyncio.get_running_loop().create_future()
             question = _Question(answer, key, limit)
             self._question_by_number[found.number] = question
@@ -243,7 +247,7 @@
             self._policy.give_back(self._clock.now_ms(), key, limit)
             self._flush()
 
-    def view(self, workspace: Workspace) -> UseView:
+    def view(self, workspace: Workspace) -> UsageView:
         """Return a workspace's use as this entry sees it."""
         key = _key(workspace.workspace_id)
         return self._policy.view(self._clock.now_ms(), key)
@@ -277,7 +281,7 @@
     def _flush(self):
         for host, report in self._policy.outbox():
             self._slots.tell_use((host, self._agent_port), report)
-        if self._policy.is_waiting:
+        if self._policy.needs_tick:
             self._wanted.set()
 
     async def run(self) -> None:
@@ -285,7 +289,7 @@
         while True:
             await self._wanted.wait()
             self._wanted.clear()
-            while self._policy.is_waiting:
+            while self._policy.needs_tick:
                 await self._clock.sleep_ms(TICK_MS)
                 self._settle(self._policy.tick(self._clock.now_ms()))
                 self._flush()
--- a/dahliashunt/forwarding/placing.py
+++ b/dahliashunt/forwarding/replica_selector.py
@@ -4,21 +4,21 @@
 import random
 
 from dahliashunt.adapters.slots import SlotClient
-from dahliashunt.decisions.partners import draw_outsiders
-from dahliashunt.decisions.return_time import HoldTimes
-from dahliashunt.decisions.return_time import return_after_ms
+from dahliashunt.decisions.partners import sample_non_partners
+from dahliashunt.decisions.retry_delay import HoldTimes
+from dahliashunt.decisions.retry_delay import retry_delay_ms
+from dahliashunt.decisions.slot_messages import SlotDecision
 from dahliashunt.decisions.slot_messages import Use
-from dahliashunt.decisions.slot_messages import Verdict
 from dahliashunt.decisions.suspicion import Suspicion
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import RequestError
-from dahliashunt.forwarding.asking import Asker
 from dahliashunt.forwarding.known_replicas import KnownReplicas
-from dahliashunt.forwarding.place import Place
-from dahliashunt.forwarding.place import Want
+from dahliashunt.forwarding.reservation import Reservation
+from dahliashunt.forwarding.reservation import SlotRequirements
+from dahliashunt.forwarding.slot_requests import Asker
 from dahliashunt.ports import Clock
 
-__all__ = ["Places"]
+__all__ = ["ReplicaSelector"]
 
 MOST_ASKED = 6
 """Agents asked in turn before a request waits at one: some milliseconds,
@@ -44,7 +44,7 @@
 up some three seconds after the entries where all start at once."""
 
 
-class Places:
+class ReplicaSelector:
     """Chooses replicas and asks their agents.
 
     Parameters
@@ -74,15 +74,20 @@
         self._started_ms = clock.now_ms()
         self._renewed: set[tuple[str, int]] = set()
 
-    async def find(self, want: Want, request_id: str, keeps: bool) -> Place:
-        """Return a place for `want`.
+    async def find(
+        self,
+        requirements: SlotRequirements,
+        request_id: str,
+        with_agents: bool,
+    ) -> Reservation:
+        """Return a place for `requirements`.
 
         Parameters
         ----------
-        want : Want
+        requirements : SlotRequirements
         request_id : str
             The id under which the replica will list the request.
-        keeps : bool
+        with_agents : bool
             Whether the service's replicas have agents that keep slots.
 
         Raises
@@ -90,47 +95,51 @@
         RequestError
             There is none; nothing ran because of this call.
         """
-        replicas = self._untried(want)
-        ordered = self._known.ordered(replicas, want.affinity)
-        if not keeps:
+        replicas = self._untried(requirements)
+        ordered = self._known.ordered(replicas, requirements.affinity)
+        if not with_agents:
             return self._direct(ordered[0])
         if self._has_no_agents(replicas):
-            return self._direct_with_room(ordered, want)
-        chosen = self._with_outsiders(ordered, want)
-        asked = await self._asker.ask_in_turn(chosen, want, request_id)
+            return self._direct_with_room(ordered, requirements)
+        chosen = self._with_outsiders(ordered, requirements)
+        asked = await self._asker.ask_in_turn(chosen, requirements, request_id)
         now_ms = self._clock.now_ms()
         for replica in asked.away:
-            self._suspicion.failed(replica.life, now_ms)
+            self._suspicion.failed(replica.incarnation, now_ms)
         if asked.granted is not None:
             return self._granted(asked.granted, asked.attempt)
-        return await self._ask_again(asked, want, request_id)
+        return await self._ask_again(asked, requirements, request_id)
 
-    def _untried(self, want):
+    def _untried(self, requirements):
         """Return the partners that were not tried, else any others."""
         for listed in (
-            self._known.partners(want.service),
-            self._known.listed(want.service),
+            self._known.partners(requirements.service),
+            self._known.listed(requirements.service),
         ):
-            untried = [one for one in listed if one.life not in want.avoid]
+            untried = [
+                one
+                for one in listed
+                if one.incarnation not in requirements.avoid
+            ]
             if untried:
                 return untried
         raise RequestError(
             ErrorKind.NO_ENDPOINT,
-            f"no replica of {want.service} is listed",
+            f"no replica of {requirements.service} is listed",
             retry_after_ms=NO_REPLICA_RETRY_MS,
         )
 
-    def _with_outsiders(self, ordered, want):
+    def _with_outsiders(self, ordered, requirements):
         """Return whom to ask: the best partners, then some others."""
-        listed = self._known.listed(want.service)
-        partners = self._known.partners(want.service)
+        listed = self._known.listed(requirements.service)
+        partners = self._known.partners(requirements.service)
         if len(listed) <= len(partners):
             return ordered[:MOST_ASKED]
         ids = {replica.replica_id for replica in partners}
         outsiders = [
             replica
-            for replica in draw_outsiders(listed, ids, self._rng)
-            if replica.life not in want.avoid
+            for replica in sample_non_partners(listed, ids, self._rng)
+            if replica.incarnation not in requirements.avoid
         ]
         return ordered[:MOST_ASKED] + outsiders
 
@@ -140,52 +149,52 @@
             self._known.load(replica) for replica in replicas
         )
 
-    def _direct_with_room(self, ordered, want):
+    def _direct_with_room(self, ordered, requirements):
         """Send to the first replica that this entry has not filled itself.
 
         Batch leaves half of the slots: nobody can revoke it.
         """
         for replica in ordered:
             most = replica.slots
-            if want.use is Use.BATCH:
+            if requirements.use is Use.BATCH:
                 most = max(1, most // 2)
             if self._known.own(replica) < most:
                 return self._direct(replica)
         raise RequestError(
             ErrorKind.OVERLOADED,
-            f"this entry fills every slot of {want.service}",
-            retry_after_ms=self._return_after_ms(want.service, 0),
+            f"this entry fills every slot of {requirements.service}",
+            retry_after_ms=self._retry_delay_ms(requirements.service, 0),
         )
 
-    async def _ask_again(self, asked, want, request_id):
+    async def _ask_again(self, asked, requirements, request_id):
         """Send to a replica without agent, or wait at one with."""
         full = asked.full
         for replica in asked.unanswered:
             most = max(1, replica.slots // DIRECT_SHARE)
-            if want.use is Use.BATCH:
+            if requirements.use is Use.BATCH:
                 # Nobody there could revoke it for an online request.
                 most = 0 if full else 1
             if self._known.own(replica) < most:
                 return self._direct(replica)
         full.sort(key=self._expected_wait_ms)
-        if full and want.wait_ms > 0:
+        if full and requirements.wait_ms > 0:
             replica = full[0]
-            attempt = self._asker.attempt(want, request_id)
+            attempt = self._asker.attempt(requirements, request_id)
             verdict = await self._slots.ask(
-                attempt, self._known.agent(replica), want.wait_ms
+                attempt, self._known.agent(replica), requirements.wait_ms
             )
-            if verdict is Verdict.GRANTED:
+            if verdict is SlotDecision.GRANTED:
                 return self._granted(replica, attempt)
         wait_ms = min(map(self._expected_wait_ms, full), default=0)
         raise RequestError(
             ErrorKind.OVERLOADED,
-            f"every slot of {want.service} is taken",
-            retry_after_ms=self._return_after_ms(want.service, wait_ms),
+            f"every slot of {requirements.service} is taken",
+            retry_after_ms=self._retry_delay_ms(requirements.service, wait_ms),
         )
 
-    def _return_after_ms(self, service, wait_ms):
+    def _retry_delay_ms(self, service, wait_ms):
         hold_ms = self._holds.mean_ms(service)
-        return return_after_ms(hold_ms, wait_ms, self._rng)
+        return retry_delay_ms(hold_ms, wait_ms, self._rng)
 
     def _expected_wait_ms(self, replica):
         known = self._known.load(replica)
@@ -202,22 +211,22 @@
                 held_ms = self._clock.now_ms() - since_ms
                 self._holds.ended(replica.service, held_ms)
 
-        return Place(replica, attempt.attempt_id, release)
+        return Reservation(replica, attempt.attempt_id, release)
 
     def _direct(self, replica):
-        self._suspicion.probe(replica.life, self._clock.now_ms())
+        self._suspicion.probe(replica.incarnation, self._clock.now_ms())
         self._known.count(replica, 1)
 
         def release():
             self._known.count(replica, -1)
 
-        return Place(replica, "", release)
+        return Reservation(replica, "", release)
 
     def hold_ms(self, service: str) -> int:
         """Return how long online requests hold a slot, as learned here."""
         return self._holds.mean_ms(service)
 
-    async def keep_states(self, every_ms: int) -> None:
+    async def refresh_states(self, every_ms: int) -> None:
         """Renew holds and hear of loads, for ever."""
         renewed_ms = -every_ms
         while True:
@@ -243,4 +252,4 @@
         self._renewed = self._partner_agents()
         self._slots.renew(self._renewed)
         self._slots.forget_but(self._renewed)
-        self._suspicion.keep_only(self._known.lives())
+        self._suspicion.keep_only(self._known.incarnations())
--- a/dahliashunt/forwarding/replicas.py
+++ b/dahliashunt/forwarding/replicas.py
@@ -4,9 +4,9 @@
 
 from dahliashunt.ids import DataCentreId
 
-__all__ = ["Replica", "ReplicaBook"]
+__all__ = ["Replica", "ReplicaRegistry"]
 
-AFTER_OUTAGE_MS = 2_200
+OUTAGE_GRACE_MS = 2_200
 """Entries that lapsed in an outage of the list are back within two
 seconds of its end; until then the last list stands."""
 
@@ -47,12 +47,12 @@
         return (self.host, self.port)
 
     @property
-    def life(self) -> tuple[str, int]:
+    def incarnation(self) -> tuple[str, int]:
         """What names this life of the replica."""
         return (self.replica_id, self.born_ms)
 
 
-class ReplicaBook:
+class ReplicaRegistry:
     """Follows the list; keeps lapsed entries for a while after an outage.
 
     The failure it guards against: the list's service goes away, entries
@@ -125,8 +125,8 @@
         if replica_id not in self._replica_by_id:
             return
         ended_ms = self._outage_ended_ms
-        if ended_ms is not None and now_ms - ended_ms < AFTER_OUTAGE_MS:
-            until_ms = ended_ms + AFTER_OUTAGE_MS
+        if ended_ms is not None and now_ms - ended_ms < OUTAGE_GRACE_MS:
+            until_ms = ended_ms + OUTAGE_GRACE_MS
             self._lapsed_ms_by_id.setdefault(replica_id, until_ms)
         else:
             self._forget(replica_id)
--- a/dahliashunt/forwarding/place.py
+++ b/dahliashunt/forwarding/reservation.py
@@ -5,11 +5,11 @@
 from dahliashunt.decisions.slot_messages import Use
 from dahliashunt.forwarding.replicas import Replica
 
-__all__ = ["Place", "Want"]
+__all__ = ["Reservation", "SlotRequirements"]
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class SlotRequirements:
     """What a place is wanted for.
 
     Attributes
@@ -41,7 +41,7 @@
     rank: int = 0
 
 
-class Place:
+class Reservation:
     """A replica to send to, and what is held there until `release`."""
 
     __slots__ = ("_release", "attempt_id", "replica")
--- a/dahliashunt/forwarding/asking.py
+++ b/dahliashunt/forwarding/slot_requests.py
@@ -5,9 +5,9 @@
 from dataclasses import field
 import itertools
 
-from dahliashunt.adapters.slots import Attempt
+from dahliashunt.adapters.slots import SlotAttempt
 from dahliashunt.adapters.slots import SlotClient
-from dahliashunt.decisions.slot_messages import Verdict
+from dahliashunt.decisions.slot_messages import SlotDecision
 from dahliashunt.forwarding.replicas import Replica
 
 __all__ = ["Asked", "Asker"]
@@ -27,14 +27,14 @@
     ----------
     granted : Replica or None
         Holds a slot for `attempt`.
-    attempt : Attempt or None
+    attempt : SlotAttempt or None
     full, away, unanswered : list of Replica
         Those that have no slot now, whose replica is absent, and that did
         not answer.
     """
 
     granted: Replica | None = None
-    attempt: Attempt | None = None
+    attempt: SlotAttempt | None = None
     full: list[Replica] = field(default_factory=list)
     away: list[Replica] = field(default_factory=list)
     unanswered: list[Replica] = field(default_factory=list)
@@ -55,18 +55,18 @@
         self._agent_of = agent_of
         self._numbers = itertools.count(1)
 
-    def attempt(self, want, run_id: str) -> Attempt:
+    def attempt(self, requirements, run_id: str) -> SlotAttempt:
         """Return a new attempt at a slot for the request `run_id`."""
-        return Attempt(
+        return SlotAttempt(
             attempt_id=f"{run_id}#{next(self._numbers)}",
             run_id=run_id,
-            use=want.use,
-            slack_ms=want.slack_ms,
-            rank=want.rank,
-            on_revoke=want.on_revoke,
+            use=requirements.use,
+            slack_ms=requirements.slack_ms,
+            rank=requirements.rank,
+            on_revoke=requirements.on_revoke,
         )
 
-    async def ask_in_turn(self, replicas, want, run_id: str) -> Asked:
+    async def ask_in_turn(self, replicas, requirements, run_id: str) -> Asked:
         """Ask the agents of `replicas` for a slot that is free now.
 
         The first that grants one is taken. What others grant meanwhile is
@@ -79,7 +79,7 @@
                 if self._slots.is_silent(self._agent_of(replica)):
                     asked.unanswered.append(replica)
                     continue
-                attempt = self.attempt(want, run_id)
+                attempt = self.attempt(requirements, run_id)
                 task = asyncio.create_task(self._ask(replica, attempt))
                 pending[task] = (replica, attempt)
                 await self._collect(pending, asked, STAGGER_MS / 1000)
@@ -101,15 +101,15 @@
         )
         for task in done:
             verdict = task.result()
-            if verdict is Verdict.GRANTED and asked.granted is not None:
+            if verdict is SlotDecision.GRANTED and asked.granted is not None:
                 # Two at the same moment: the second is given back.
                 continue
             replica, attempt = pending.pop(task)
-            if verdict is Verdict.GRANTED:
+            if verdict is SlotDecision.GRANTED:
                 asked.granted, asked.attempt = replica, attempt
-            elif verdict is Verdict.FULL:
+            elif verdict is SlotDecision.FULL:
                 asked.full.append(replica)
-            elif verdict is Verdict.AWAY:
+            elif verdict is SlotDecision.AWAY:
                 asked.away.append(replica)
             else:
                 asked.unanswered.append(replica)
