--- a/dahliashunt/forwarding/tests/test_catalog.py
+++ b/dahliashunt/forwarding/tests/test_catalog.py
@@ -45,9 +45,9 @@
     """Return a node that has heard of its configuration just now."""
     clock = VirtualClock()
     node = Node(
-        clock, None, Metrics("front"), structlog.get_logger(), book=None
+        clock, None, Metrics("front"), structlog.get_logger(), registry=None
     )
-    node.config_heard = clock.now_ms
+    node.config_read_ms = clock.now_ms
     return node
 
 
--- a/dahliashunt/forwarding/tests/test_node.py
+++ b/dahliashunt/forwarding/tests/test_node.py
@@ -7,7 +7,7 @@
 import structlog
 
 from dahliashunt.adapters.clock import VirtualClock
-from dahliashunt.decisions.return_time import OUTAGE_MS
+from dahliashunt.decisions.retry_delay import OUTAGE_RETRY_BOUNDS_MS
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import RequestError
 from dahliashunt.forwarding.catalog import Catalog
@@ -28,7 +28,7 @@
 @pytest.fixture
 def node(clock):
     log = structlog.get_logger()
-    return Node(clock, random.Random(1), Metrics("n"), log, book=None)
+    return Node(clock, random.Random(1), Metrics("n"), log, registry=None)
 
 
 def retry_ms(node):
@@ -44,7 +44,7 @@
     async def main():
         asyncio.get_running_loop().call_later(0.01, node.adopt, EMPTY)
         async with asyncio.timeout(LIMIT_S):
-            await node.first_read()
+            await node.wait_until_configured()
         assert node.catalog is EMPTY
 
     asyncio.run(main())
@@ -54,7 +54,7 @@
     async def main():
         await clock.advance(FIRST_READ_MS)
         async with asyncio.timeout(LIMIT_S):
-            await node.first_read()
+            await node.wait_until_configured()
 
     asyncio.run(main())
     assert node.catalog is None
@@ -63,7 +63,7 @@
 def test_the_longer_it_lasts_the_later_callers_return(node, clock):
     # All entries were started while the store is away for seconds. Callers
     # came back after 300 ms each, were refused again and gave up.
-    least_ms, most_ms = OUTAGE_MS
+    least_ms, most_ms = OUTAGE_RETRY_BOUNDS_MS
     assert retry_ms(node) == least_ms
     asyncio.run(clock.advance(1_000))
     assert least_ms < retry_ms(node) < most_ms
--- a/dahliashunt/forwarding/tests/test_placing.py
+++ b/dahliashunt/forwarding/tests/test_replica_selector.py
@@ -6,22 +6,22 @@
 import pytest
 
 from dahliashunt.adapters.clock import VirtualClock
-from dahliashunt.decisions.partners import MOST_PARTNERS
-from dahliashunt.decisions.partners import OUTSIDERS
+from dahliashunt.decisions.partners import MAX_PARTNERS
+from dahliashunt.decisions.partners import NON_PARTNER_SAMPLES
+from dahliashunt.decisions.slot_messages import SlotDecision
 from dahliashunt.decisions.slot_messages import Use
-from dahliashunt.decisions.slot_messages import Verdict
 from dahliashunt.decisions.suspicion import Suspicion
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import RequestError
 from dahliashunt.forwarding.known_replicas import KnownReplicas
 from dahliashunt.forwarding.partners import Partners
-from dahliashunt.forwarding.place import Want
-from dahliashunt.forwarding.placing import DIRECT_SHARE
-from dahliashunt.forwarding.placing import MOST_ASKED
-from dahliashunt.forwarding.placing import NO_AGENTS_MS
-from dahliashunt.forwarding.placing import Places
+from dahliashunt.forwarding.replica_selector import DIRECT_SHARE
+from dahliashunt.forwarding.replica_selector import MOST_ASKED
+from dahliashunt.forwarding.replica_selector import NO_AGENTS_MS
+from dahliashunt.forwarding.replica_selector import ReplicaSelector
 from dahliashunt.forwarding.replicas import Replica
-from dahliashunt.forwarding.replicas import ReplicaBook
+from dahliashunt.forwarding.replicas import ReplicaRegistry
+from dahliashunt.forwarding.reservation import SlotRequirements
 
 SLOTS = 8
 
@@ -70,25 +70,27 @@
 
 @pytest.fixture
 def places(slots, clock):
-    book = ReplicaBook()
+    registry = ReplicaRegistry()
     for name in "ab":
         replica = Replica(name, 0, "s", name, 1, "d", SLOTS, False)
-        book.put(replica, 1, 0)
-    return make_places(book, slots, clock)
+        registry.put(replica, 1, 0)
+    return make_places(registry, slots, clock)
 
 
-def make_places(book, slots, clock):
-    partners = Partners(book, "entry-1")
+def make_places(registry, slots, clock):
+    partners = Partners(registry, "entry-1")
     suspicion, rng = Suspicion(), random.Random(1)
     known = KnownReplicas(
-        book, partners, slots, suspicion, clock, rng, "d", 7000
+        registry, partners, slots, suspicion, clock, rng, "d", 7000
     )
-    return Places(known, slots, suspicion, clock, rng)
+    return ReplicaSelector(known, slots, suspicion, clock, rng)
 
 
-def find(places, use=Use.ONLINE, wait_ms=0, avoid=(), keeps=True):
-    want = Want("s", use, "", wait_ms, 0, frozenset(avoid), lambda: None)
-    return asyncio.run(places.find(want, "r", keeps))
+def find(places, use=Use.ONLINE, wait_ms=0, avoid=(), with_agents=True):
+    requirements = SlotRequirements(
+        "s", use, "", wait_ms, 0, frozenset(avoid), lambda: None
+    )
+    return asyncio.run(places.find(requirements, "r", with_agents))
 
 
 def count(places, **how):
@@ -121,23 +123,26 @@
 
 
 def test_a_full_fleet_is_waited_for_once_and_only_in_time(places, slots):
-    slots.verdict_by_host = {"a": Verdict.FULL, "b": Verdict.FULL}
+    slots.verdict_by_host = {"a": SlotDecision.FULL, "b": SlotDecision.FULL}
     with pytest.raises(RequestError):
         find(places, wait_ms=200)
     assert [wait_ms for _, wait_ms in slots.asked] == [0, 0, 200]
 
 
 def test_a_replica_that_was_tried_is_not_asked(places, slots):
-    slots.verdict_by_host = {"a": Verdict.GRANTED, "b": Verdict.GRANTED}
-    place = find(places, avoid=[("a", 0)])
-    assert place.replica.replica_id == "b"
-    place.release()
-    place.release()
-    assert slots.released == [place.attempt_id]
+    slots.verdict_by_host = {
+        "a": SlotDecision.GRANTED,
+        "b": SlotDecision.GRANTED,
+    }
+    reservation = find(places, avoid=[("a", 0)])
+    assert reservation.replica.replica_id == "b"
+    reservation.release()
+    reservation.release()
+    assert slots.released == [reservation.attempt_id]
 
 
 def test_batch_goes_nowhere_directly_beside_a_full_keeper(places, slots):
-    slots.verdict_by_host = {"a": Verdict.FULL}
+    slots.verdict_by_host = {"a": SlotDecision.FULL}
     with pytest.raises(RequestError):
         find(places, use=Use.BATCH)
 
@@ -147,10 +152,10 @@
     # a moment ago. It was asked at one after the other, 75 ms each, and
     # reached a live replica when its 300 ms were over.
     slots.hanging = {"a"}
-    slots.verdict_by_host = {"b": Verdict.GRANTED}
+    slots.verdict_by_host = {"b": SlotDecision.GRANTED}
     for _ in range(4):
-        place = find(places)
-        assert place.replica.replica_id == "b"
+        reservation = find(places)
+        assert reservation.replica.replica_id == "b"
     # What the agent that is gone might grant later is given back.
     asked_a = sum(host == "a" for host, _ in slots.asked)
     assert len(slots.released) == asked_a
@@ -159,55 +164,60 @@
 def test_only_one_of_two_grants_is_kept(places, slots):
     # Both answer while the entry was busy: a slot that nobody gives back
     # would stand idle until the agent misses its renewals.
-    slots.verdict_by_host = {"a": Verdict.GRANTED, "b": Verdict.GRANTED}
+    slots.verdict_by_host = {
+        "a": SlotDecision.GRANTED,
+        "b": SlotDecision.GRANTED,
+    }
     places_found = [find(places) for _ in range(10)]
     assert len(slots.asked) == len(places_found) + len(slots.released)
 
 
 def test_a_plain_service_needs_no_agent(places, slots):
     for _ in range(4 * SLOTS):
-        find(places, keeps=False)
+        find(places, with_agents=False)
     assert slots.asked == []
 
 
-MANY = [f"r{n}" for n in range(5 * MOST_PARTNERS)]
+MANY = [f"r{n}" for n in range(5 * MAX_PARTNERS)]
 
 
 @pytest.fixture
 def large(slots, clock):
     """Places of an entry before five times as many replicas."""
-    book = ReplicaBook()
+    registry = ReplicaRegistry()
     for name in MANY:
-        book.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
-    return make_places(book, slots, clock)
+        registry.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
+    return make_places(registry, slots, clock)
 
 
 def test_a_full_large_service_is_asked_beyond_the_partners(large, slots):
     # All partners of one entry are full while others idle: its callers
     # would be refused beside free replicas.
-    slots.verdict_by_host = dict.fromkeys(MANY, Verdict.FULL)
+    slots.verdict_by_host = dict.fromkeys(MANY, SlotDecision.FULL)
     for _ in range(60):
         with pytest.raises(RequestError):
             find(large)
-    assert len({host for host, _ in slots.asked}) > 3 * MOST_PARTNERS
-    assert len(slots.asked) <= 60 * (MOST_ASKED + OUTSIDERS)
+    assert len({host for host, _ in slots.asked}) > 3 * MAX_PARTNERS
+    assert len(slots.asked) <= 60 * (MOST_ASKED + NON_PARTNER_SAMPLES)
 
 
 def test_only_partners_are_asked_while_they_have_room(large, slots):
-    slots.verdict_by_host = dict.fromkeys(MANY, Verdict.GRANTED)
+    slots.verdict_by_host = dict.fromkeys(MANY, SlotDecision.GRANTED)
     for _ in range(200):
         find(large).release()
-    assert len({host for host, _ in slots.asked}) <= MOST_PARTNERS
+    assert len({host for host, _ in slots.asked}) <= MAX_PARTNERS
 
 
 def test_others_are_used_when_every_partner_was_tried(large, slots, clock):
-    slots.verdict_by_host = dict.fromkeys(MANY, Verdict.GRANTED)
-    book = ReplicaBook()
+    slots.verdict_by_host = dict.fromkeys(MANY, SlotDecision.GRANTED)
+    registry = ReplicaRegistry()
     for name in MANY:
-        book.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
-    partners = Partners(book, "entry-1").of_service("s")
-    place = find(large, avoid=[replica.life for replica in partners])
-    assert place.replica not in partners
+        registry.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
+    partners = Partners(registry, "entry-1").of_service("s")
+    reservation = find(
+        large, avoid=[replica.incarnation for replica in partners]
+    )
+    assert reservation.replica not in partners
 
 
 def test_renewals_are_bounded_by_the_partners(large, slots):
@@ -216,9 +226,9 @@
     slots.forget_but = lambda addresses: None
 
     async def look():
-        loop = asyncio.create_task(large.keep_states(1))
+        loop = asyncio.create_task(large.refresh_states(1))
         await asyncio.sleep(0)
         loop.cancel()
 
     asyncio.run(look())
-    assert len(renewed[0]) == MOST_PARTNERS
+    assert len(renewed[0]) == MAX_PARTNERS
--- a/dahliashunt/forwarding/workspaces.py
+++ b/dahliashunt/forwarding/workspaces.py
@@ -71,9 +71,9 @@
     Examples
     --------
     >>> one = Workspace("w", (key_digest("secret"),))
-    >>> Workspaces([one]).of_key("secret") is one
+    >>> Workspaces([one]).find_by_key("secret") is one
     True
-    >>> Workspaces([one]).of_key("other") is None
+    >>> Workspaces([one]).find_by_key("other") is None
     True
 
     Notes
@@ -97,7 +97,7 @@
             for digest in each.digests:
                 self._by_digest[digest] = each
 
-    def of_key(self, key: str) -> Workspace | BrokenWorkspace | None:
+    def find_by_key(self, key: str) -> Workspace | BrokenWorkspace | None:
         """Return whose key this is, or None."""
         return self._by_digest.get(key_digest(key))
 
--- a/dahliashunt/jobs/item_run.py
+++ b/dahliashunt/jobs/item_run.py
@@ -7,10 +7,10 @@
 from dahliashunt.adapters.http1 import End
 from dahliashunt.adapters.http1 import ResponseHead
 from dahliashunt.forwarding.call import Call
-from dahliashunt.forwarding.events import EventCutter
 from dahliashunt.forwarding.events import EventOutOfOrder
-from dahliashunt.forwarding.place import Place
+from dahliashunt.forwarding.events import EventSplitter
 from dahliashunt.forwarding.ports import ReplicaDialect
+from dahliashunt.forwarding.reservation import Reservation
 from dahliashunt.ids import JobId
 from dahliashunt.jobs.partials import Partial
 from dahliashunt.ports import Clock
@@ -126,13 +126,13 @@
 
     async def attempt(
         self,
-        place: Place,
+        reservation: Reservation,
         pool: ConnectionPool,
         dialect: ReplicaDialect,
         clock: Clock,
     ) -> ItemEnd:
-        """Run the item at `place`, from its last event on."""
-        address = place.replica.address
+        """Run the item at `reservation`, from its last event on."""
+        address = reservation.replica.address
         try:
             connection = await pool.take(address, IDLE_MS)
         except ConnectFailed:
@@ -143,7 +143,7 @@
             return ItemEnd.REVOKED
         left_ms = self.abandon_ms - clock.now_ms()
         request = dialect.request(
-            self.call, place.replica, left_ms, self.last_event
+            self.call, reservation.replica, left_ms, self.last_event
         )
         box = connection.start(
             request, lambda head: dialect.answers(self.call, head)
@@ -181,7 +181,7 @@
 
     async def _relay(self, connection, box, dialect):
         head = None
-        cutter = EventCutter()
+        cutter = EventSplitter()
         while True:
             events = await box.take(SILENCE_MS)
             if not events:
--- a/dahliashunt/jobs/worker.py
+++ b/dahliashunt/jobs/worker.py
@@ -1,6 +1,6 @@
 """Run the items of the jobs that this node owns, and list their results.
 
-The waiting item that `ItemOrder` names asks for a slot; when none is to be
+The waiting item that `ItemQueue` names asks for a slot; when none is to be
 had the worker pauses for a moment. A revoked item waits again with what it
 has.
 """
@@ -9,7 +9,7 @@
 import random
 
 from dahliashunt.adapters.http1 import ConnectionPool
-from dahliashunt.decisions.item_order import ItemOrder
+from dahliashunt.decisions.item_order import ItemQueue
 from dahliashunt.decisions.item_order import WaitingItem
 from dahliashunt.decisions.slot_messages import Use
 from dahliashunt.errors import PlatformUnavailable
@@ -18,9 +18,9 @@
 from dahliashunt.forwarding.catalog import Route
 from dahliashunt.forwarding.catalog import RouteKind
 from dahliashunt.forwarding.node import Node
-from dahliashunt.forwarding.place import Want
-from dahliashunt.forwarding.placing import Places
 from dahliashunt.forwarding.ports import ReplicaDialect
+from dahliashunt.forwarding.replica_selector import ReplicaSelector
+from dahliashunt.forwarding.reservation import SlotRequirements
 from dahliashunt.ids import JobId
 from dahliashunt.jobs.item_run import ItemEnd
 from dahliashunt.jobs.item_run import ItemRun
@@ -61,7 +61,7 @@
     node : Node
     view : JobView
     ledger : JobLedger
-    places : Places
+    places : ReplicaSelector
     pool : ConnectionPool
     dialect : ReplicaDialect
     payloads : PayloadReader
@@ -75,7 +75,7 @@
         node: Node,
         view: JobView,
         ledger: JobLedger,
-        places: Places,
+        places: ReplicaSelector,
         pool: ConnectionPool,
         dialect: ReplicaDialect,
         payloads: PayloadReader,
@@ -95,7 +95,7 @@
         self.log = node.log
         self._rng: random.Random = node.rng
         self._run_by_id: dict[JobId, JobRun] = {}
-        self._waiting = ItemOrder()
+        self._waiting = ItemQueue()
         self._woken = asyncio.Event()
         self._running = 0
         self._hand_ins = set()
@@ -226,18 +226,18 @@
                 await self._pause_or_wake()
                 continue
             job_run, item = entry.work
-            place = await self._place(entry)
-            if place is _NOWHERE:
+            reservation = await self._place(entry)
+            if reservation is _NOWHERE:
                 continue
-            if place is None:
+            if reservation is None:
                 self._waiting.put(entry)
                 await self._pause()
                 continue
             if job_run.stopped:
-                place.release()
+                reservation.release()
                 continue
             self._running += 1
-            job_run.spawn(self._attempt(job_run, item, place))
+            job_run.spawn(self._attempt(job_run, item, reservation))
 
     async def _pause(self):
         await self.clock.sleep_ms(self._rng.randint(*PAUSE_MS))
@@ -287,7 +287,7 @@
             return _NOWHERE
         service = route.service_for(item.call.request_id)
         parts = item.call.shared_parts
-        want = Want(
+        requirements = SlotRequirements(
             service=service,
             use=Use.BATCH,
             affinity=parts[-1] if parts else "",
@@ -296,25 +296,27 @@
             avoid=frozenset(),
             on_revoke=item.revoke,
         )
-        keeps = self.node.keeps_slots(service)
+        with_agents = self.node.has_agents(service)
         try:
-            return await self.places.find(want, item.call.request_id, keeps)
+            return await self.places.find(
+                requirements, item.call.request_id, with_agents
+            )
         except RequestError:
             # No slot or no replica: not logged, since a full fleet answers
             # so to every ask; the waiting items are counted instead.
             self.node.metrics.gauge("items_waiting", len(self._waiting) + 1)
             return None
 
-    async def _attempt(self, job_run, item, place):
+    async def _attempt(self, job_run, item, reservation):
         end = ItemEnd.LOST
         job_run.item_by_index[item.index] = item
         try:
             end = await item.attempt(
-                place, self.pool, self.dialect, self.clock
+                reservation, self.pool, self.dialect, self.clock
             )
         finally:
             del job_run.item_by_index[item.index]
-            place.release()
+            reservation.release()
             self._running -= 1
         self.node.metrics.count("item_attempts", end=end.value)
         if end not in (ItemEnd.DONE, ItemEnd.REVOKED):
@@ -322,24 +324,24 @@
                 "item_attempt_ended",
                 request_id=item.call.request_id,
                 job_id=job_run.job.job_id,
-                replica=place.replica.replica_id,
+                replica=reservation.replica.replica_id,
                 end=end.value,
                 failures=item.failures,
             )
-        self._judge(job_run, item, place, end)
+        self._judge(job_run, item, reservation, end)
 
-    def _judge(self, job_run, item, place, end):
+    def _judge(self, job_run, item, reservation, end):
         suspicion = self.node.forwarder.suspicion
-        life = place.replica.life
+        incarnation = reservation.replica.incarnation
         if end is ItemEnd.DONE:
-            suspicion.served(life)
-            self._learn(job_run, item, place.replica)
+            suspicion.served(incarnation)
+            self._learn(job_run, item, reservation.replica)
             job_run.finish(item, Outcome.DONE, "")
             return
         if end in (ItemEnd.LOST, ItemEnd.FAILED, ItemEnd.NOT_RUN):
             # Also where it did not run: the address may be another
             # replica's by now, and its refusal comes within a millisecond.
-            suspicion.failed(life, self.clock.now_ms())
+            suspicion.failed(incarnation, self.clock.now_ms())
         route = self.node.catalog.match(job_run.job.host, item.call.target)
         most = route.max_attempts if isinstance(route, Route) else 1
         if end is ItemEnd.IMPOSSIBLE:
--- a/dahliashunt/platform/__main__.py
+++ b/dahliashunt/platform/__main__.py
@@ -42,7 +42,7 @@
 __all__ = ["main"]
 
 CAP_POLICIES = ("equal-share", "metered")
-"""Names in `CAPS`, whose modules an agent does without."""
+"""Names in `RATE_LIMIT_POLICIES`, whose modules an agent does without."""
 
 LAST_PORT = 65_535
 SETTINGS_VARIABLE = "DAHLIASHUNT_CONFIG"
--- a/dahliashunt/platform/dialect.py
+++ b/dahliashunt/platform/dialect.py
@@ -59,7 +59,7 @@
         """Tell whether the answer bears its replica's signature."""
         return head.get(SIGNATURE) is not None
 
-    def relayed(self, head: ResponseHead) -> list[tuple[str, str]]:
+    def relayed_headers(self, head: ResponseHead) -> list[tuple[str, str]]:
         """Return the headers that go on to the caller."""
         return [
             (name, value)
--- a/dahliashunt/platform/ingress.py
+++ b/dahliashunt/platform/ingress.py
@@ -15,7 +15,7 @@
 from dahliashunt.forwarding.call import Call
 from dahliashunt.forwarding.catalog import IngressLimits
 from dahliashunt.forwarding.catalog import RouteKind
-from dahliashunt.forwarding.forwarder import AnswerCut
+from dahliashunt.forwarding.forwarder import ResponseTruncated
 from dahliashunt.forwarding.node import Node
 from dahliashunt.ids import RequestId
 from dahliashunt.ids import WorkspaceId
@@ -79,7 +79,7 @@
         while (await self.receive())["type"] != "http.disconnect":
             pass
 
-    # AnswerSink.
+    # ResponseSink.
 
     async def start(self, status, headers, length) -> None:
         """Send status and headers."""
@@ -105,7 +105,7 @@
 
 
 class _Sink:
-    """`AnswerSink` over one exchange."""
+    """`ResponseSink` over one exchange."""
 
     def __init__(self, exchange):
         self._exchange = exchange
@@ -151,7 +151,7 @@
 
     async def _serve(self, exchange):
         arrived_ms = self._node.clock.now_ms()
-        await self._node.first_read()
+        await self._node.wait_until_configured()
         catalog = self._node.catalog
         limits = catalog.limits if catalog else IngressLimits()
         body = await exchange.body(limits)
@@ -182,7 +182,7 @@
             await self._jobs.answer(about_job, caller, exchange)
             return
         route = self._node.route(headers.get("host", ""), path)
-        workspace = self._node.caller_on(route, key)
+        workspace = self._node.caller_for_route(route, key)
         if route.kind is RouteKind.BATCH:
             if method != "POST":
                 raise RequestError(ErrorKind.NOT_FOUND, "jobs are posted")
@@ -190,11 +190,11 @@
             return
         target = f"{path}?{query}" if query else path
         call = _call(exchange, target, body, arrived_ms)
-        if self._node.asks_for_keys:
+        if self._node.requires_keys:
             call = _in_name_of(workspace, call)
         try:
             await self._node.forward(call, route, _Sink(exchange), workspace)
-        except AnswerCut as cut:
+        except ResponseTruncated as cut:
             # Returning with the answer unfinished makes the server close
             # the connection without its end mark.
             self._node.log.warning(
--- a/dahliashunt/platform/job_calls.py
+++ b/dahliashunt/platform/job_calls.py
@@ -134,8 +134,8 @@
         job = await self._ledger.find(about.job_id)
         if job is None:
             raise _no_job()
-        if job.workspace and self._node.asks_for_keys:
-            self._node.demand_key(workspace)
+        if job.workspace and self._node.requires_keys:
+            self._node.require_key(workspace)
             if job.workspace != _id_of(workspace):
                 raise _no_job()
         await self._answer_by_verb[about.verb](job, about, exchange)
--- a/dahliashunt/platform/job_parts.py
+++ b/dahliashunt/platform/job_parts.py
@@ -4,7 +4,7 @@
 
 from dahliashunt.adapters.http1 import ConnectionPool
 from dahliashunt.forwarding.node import Node
-from dahliashunt.forwarding.placing import Places
+from dahliashunt.forwarding.replica_selector import ReplicaSelector
 from dahliashunt.ids import NodeId
 from dahliashunt.jobs.beats import BeatReader
 from dahliashunt.jobs.beats import BeatWriter
@@ -33,7 +33,7 @@
     ----------
     node : Node
     store : PlatformStore
-    places : Places
+    places : ReplicaSelector
     pool : ConnectionPool
     keep_ms : int
         How long results stay readable after a job's acceptance.
@@ -50,7 +50,7 @@
         self,
         node: Node,
         store: PlatformStore,
-        places: Places,
+        places: ReplicaSelector,
         pool: ConnectionPool,
         keep_ms: int,
     ):
--- a/dahliashunt/platform/listeners.py
+++ b/dahliashunt/platform/listeners.py
@@ -1,7 +1,7 @@
 """Rows of the operator's table and of the list, handed to the product."""
 
 from dahliashunt.forwarding.node import Node
-from dahliashunt.forwarding.replicas import ReplicaBook
+from dahliashunt.forwarding.replicas import ReplicaRegistry
 from dahliashunt.platform.operator import decode_catalog
 from dahliashunt.platform.operator import decode_replica
 from dahliashunt.platform.operator import Undecodable
@@ -48,8 +48,8 @@
 class ReplicaRows:
     """Keeps the book of replicas."""
 
-    def __init__(self, book: ReplicaBook, clock: Clock, log):
-        self._book = book
+    def __init__(self, registry: ReplicaRegistry, clock: Clock, log):
+        self._registry = registry
         self._clock = clock
         self._log = log
 
@@ -57,7 +57,7 @@
         """Take over the whole list."""
         found = [(self._decoded(row), row.version) for row in rows]
         replicas = [pair for pair in found if pair[0] is not None]
-        self._book.replace_all(replicas, self._clock.now_ms())
+        self._registry.replace_all(replicas, self._clock.now_ms())
         self._log.info("replicas_read", listed=len(rows), usable=len(replicas))
 
     def changed(self, row: Row) -> None:
@@ -66,7 +66,7 @@
         if replica is None:
             self.removed(row.key)
             return
-        held = self._book.get(replica.replica_id)
+        held = self._registry.get(replica.replica_id)
         if held != replica:
             self._log.info(
                 "replica_changed",
@@ -76,17 +76,17 @@
                 born_ms=replica.born_ms,
                 new=held is None,
             )
-        self._book.put(replica, row.version, self._clock.now_ms())
+        self._registry.put(replica, row.version, self._clock.now_ms())
 
     def removed(self, key: str) -> None:
         """Drop one entry."""
         replica_id = key.removeprefix(REPLICAS_PREFIX)
         self._log.info("replica_removed", replica=replica_id)
-        self._book.remove(replica_id, self._clock.now_ms())
+        self._registry.remove(replica_id, self._clock.now_ms())
 
     def outage_ended(self) -> None:
         """Entries that lapsed meanwhile are kept for a while."""
-        self._book.outage_ended(self._clock.now_ms())
+        self._registry.outage_ended(self._clock.now_ms())
 
     def _decoded(self, row):
         replica_id = row.key.removeprefix(REPLICAS_PREFIX)
--- a/dahliashunt/platform/serve_agent.py
+++ b/dahliashunt/platform/serve_agent.py
@@ -9,7 +9,7 @@
 from dahliashunt.adapters.http1 import encode_request
 from dahliashunt.adapters.http1 import exchange_whole
 from dahliashunt.adapters.slots import SlotServer
-from dahliashunt.decisions.slot_keeper import SlotKeeper
+from dahliashunt.decisions.slot_allocator import SlotAllocator
 from dahliashunt.errors import PlatformUnavailable
 from dahliashunt.metrics import Metrics
 from dahliashunt.platform.boot import Source
@@ -121,8 +121,10 @@
 
     async def run(self):
         replica = await self._find_replica()
-        keeper = SlotKeeper(replica.slots)
-        self._server = SlotServer(keeper, self._clock, self.metrics, self._log)
+        allocator = SlotAllocator(replica.slots)
+        self._server = SlotServer(
+            allocator, self._clock, self.metrics, self._log
+        )
         self._server.instance_id = replica.replica_id
         await self._server.start(self._boot.ip, self._boot.first_port)
         self._log.info(
@@ -130,9 +132,9 @@
         )
         self.up.set()
         while True:
-            await self._look(keeper)
+            await self._look(allocator)
             self._server.publish()
-            self._show(keeper.state())
+            self._show(allocator.state())
             await self._clock.sleep_ms(REPORT_MS)
 
     def _show(self, state):
@@ -164,18 +166,18 @@
             self._log.warning("replica_unreadable", reason=str(error))
             return None
 
-    async def _look(self, keeper):
+    async def _look(self, allocator):
         report = await self._report()
         if report is None:
             self._missing += 1
             if self._missing == AWAY_MISSES:
                 self._log.warning("replica_away", missing=self._missing)
-            keeper.away = self._missing >= AWAY_MISSES
+            allocator.away = self._missing >= AWAY_MISSES
             return
-        if keeper.away:
+        if allocator.away:
             self._log.info("replica_back", missing=self._missing)
         self._missing = 0
-        keeper.away = False
+        allocator.away = False
         self._server.report(report.running, report.waiting)
 
     async def _report(self):
--- a/dahliashunt/platform/serve_entry.py
+++ b/dahliashunt/platform/serve_entry.py
@@ -10,10 +10,8 @@
 from dahliashunt.adapters.http_server import HttpServer
 from dahliashunt.adapters.slots import SlotClient
 from dahliashunt.decisions.feed_pace import FeedUse
-from dahliashunt.decisions.rate_limits import CAPS
+from dahliashunt.decisions.rate_limits import RATE_LIMIT_POLICIES
 from dahliashunt.decisions.suspicion import Suspicion
-from dahliashunt.forwarding.caps import Caps
-from dahliashunt.forwarding.caps import MeterChoice
 from dahliashunt.forwarding.explain import Explainer
 from dahliashunt.forwarding.explain_workspaces import WorkspaceExplainer
 from dahliashunt.forwarding.follower import TableFollower
@@ -23,8 +21,10 @@
 from dahliashunt.forwarding.losses import SharedLosses
 from dahliashunt.forwarding.node import Node
 from dahliashunt.forwarding.partners import Partners
-from dahliashunt.forwarding.placing import Places
-from dahliashunt.forwarding.replicas import ReplicaBook
+from dahliashunt.forwarding.rate_limiter import MeterSelector
+from dahliashunt.forwarding.rate_limiter import RateLimiter
+from dahliashunt.forwarding.replica_selector import ReplicaSelector
+from dahliashunt.forwarding.replicas import ReplicaRegistry
 from dahliashunt.jobs.keys import JOBS_PREFIX
 from dahliashunt.jobs.keys import PROGRESS_PREFIXES
 from dahliashunt.metrics import Metrics
@@ -136,9 +136,9 @@
         self._log = log
         self._clock = SystemClock()
         self._rng = random.Random()
-        self._book = ReplicaBook()
+        self._registry = ReplicaRegistry()
         metrics = Metrics(boot.node_id)
-        self.node = Node(self._clock, self._rng, metrics, log, self._book)
+        self.node = Node(self._clock, self._rng, metrics, log, self._registry)
         self._pool = ConnectionPool(self._clock)
         self._store_pool = ConnectionPool(self._clock)
         self._store = PlatformStore(
@@ -148,7 +148,7 @@
         self._suspicion = Suspicion()
         self._losses = SharedLosses(self._store, self._clock, log)
         self._known = self._make_known()
-        self._places = Places(
+        self._places = ReplicaSelector(
             self._known,
             self._slots,
             self._suspicion,
@@ -168,7 +168,7 @@
         self.workspaces = WorkspaceExplainer(self.node, self.jobs.view)
         self._followers = self._make_followers()
         config = self._followers[0]
-        self.node.config_heard = lambda: config.heard_ms
+        self.node.config_read_ms = lambda: config.heard_ms
         self._servers = []
         self.bounds = HttpBounds()
         self.first_port = boot.first_port
@@ -176,8 +176,8 @@
 
     def _make_known(self):
         return KnownReplicas(
-            self._book,
-            Partners(self._book, self._boot.node_id),
+            self._registry,
+            Partners(self._registry, self._boot.node_id),
             self._slots,
             self._suspicion,
             self._clock,
@@ -200,11 +200,11 @@
         )
 
     def _make_caps(self, name):
-        choice = MeterChoice(self._book, self.node.keeps_slots)
-        policy = CAPS.get(name)(
-            lambda: self.jobs.owners, choice.of_workspace, self._rng
+        choice = MeterSelector(self._registry, self.node.has_agents)
+        policy = RATE_LIMIT_POLICIES.get(name)(
+            lambda: self.jobs.owners, choice.hosts_for, self._rng
         )
-        return Caps(
+        return RateLimiter(
             policy,
             self._slots,
             self._boot.first_port,
@@ -217,7 +217,7 @@
     def _make_followers(self):
         """Return the tables' followers; the configuration's is the first."""
         configs = ConfigRows(self.node, self._log)
-        replicas = ReplicaRows(self._book, self._clock, self._log)
+        replicas = ReplicaRows(self._registry, self._clock, self._log)
         view = self.jobs.view
         return [
             self._follower((CONFIG_KEY,), FeedUse.CONFIGURATION, configs),
@@ -266,7 +266,7 @@
         """Return the coroutines that run for ever."""
         return [
             self._follow(),
-            self._places.keep_states(RENEW_MS),
+            self._places.refresh_states(RENEW_MS),
             self._losses.run(),
             self.node.caps.run(),
             self._sweep(),
@@ -295,7 +295,7 @@
         while True:
             await self._clock.sleep_ms(SWEEP_MS)
             self._pool.sweep()
-            self._book.expire(self._clock.now_ms())
+            self._registry.expire(self._clock.now_ms())
             self._take_limits()
 
     def _take_limits(self):
--- a/dahliashunt/platform/tests/conftest.py
+++ b/dahliashunt/platform/tests/conftest.py
@@ -112,7 +112,7 @@
         return entry
 
     def is_up(self, entry):
-        return entry.node.ready and len(entry.node.book.all()) == len(
+        return entry.node.ready and len(entry.node.registry.all()) == len(
             self.replicas
         )
 
--- a/dahliashunt/platform/tests/test_boot.py
+++ b/dahliashunt/platform/tests/test_boot.py
@@ -111,13 +111,13 @@
 
 
 def test_two_lives_under_one_name_differ():
-    lives = {
+    incarnations = {
         decode_replica(
             "i-1", json.dumps(replica_fields(STORE, born=born))
-        ).life
+        ).incarnation
         for born in (1000, 2000)
     }
-    assert len(lives) == 2
+    assert len(incarnations) == 2
 
 
 def test_a_split_route_sends_by_its_weights():
--- a/dahliashunt/platform/tests/test_jobs.py
+++ b/dahliashunt/platform/tests/test_jobs.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from dahliashunt.decisions.job_expiry import MARGIN_MS
-from dahliashunt.decisions.job_expiry import ORPHANED_MS
+from dahliashunt.decisions.job_expiry import ORPHAN_GRACE_MS
+from dahliashunt.decisions.job_expiry import RETENTION_MARGIN_MS
 from dahliashunt.errors import PlatformUnavailable
 from dahliashunt.jobs import JobState
 from dahliashunt.jobs.item_run import REFUSED_WAIT_MS
@@ -384,7 +384,9 @@
         await submit(p, body=job_body(*(f"i{n}" for n in range(7))))
         await read_all(p)
         jobs = p.entries[0].jobs
-        kept_until_ms = jobs.view.jobs()[0].accepted_ms + KEEP_MS + MARGIN_MS
+        kept_until_ms = (
+            jobs.view.jobs()[0].accepted_ms + KEEP_MS + RETENTION_MARGIN_MS
+        )
         # Both have heard that it is closed: news of jobs is gathered.
         for entry in p.entries:
             view = entry.jobs.view
@@ -392,7 +394,7 @@
         await jobs.expiry.look(kept_until_ms)
         assert job_rows(p) == 7 + 3
         # Its owner removes it first, any node a while later.
-        await other.jobs.expiry.look(kept_until_ms + ORPHANED_MS + 1)
+        await other.jobs.expiry.look(kept_until_ms + ORPHAN_GRACE_MS + 1)
         assert job_rows(p) == 0
         await p.until(lambda: not jobs.view.jobs())
         for entry in p.entries:
@@ -422,7 +424,9 @@
         await read_all(p)
         jobs = p.entries[0].jobs
         await p.until(lambda: jobs.view.jobs()[0].state is not JobState.OPEN)
-        later_ms = jobs.view.jobs()[0].accepted_ms + KEEP_MS + MARGIN_MS + 1
+        later_ms = (
+            jobs.view.jobs()[0].accepted_ms + KEEP_MS + RETENTION_MARGIN_MS + 1
+        )
         p.store.trouble.refuse_writes_after = 2
         await jobs.expiry.look(later_ms)
         assert 0 < job_rows(p) < 6
--- a/dahliashunt/platform/tests/test_keys.py
+++ b/dahliashunt/platform/tests/test_keys.py
@@ -174,7 +174,7 @@
     """Guards against 401 for a key that a newer revision added."""
 
     async def scenario(p):
-        p.entries[0].node.config_heard = lambda: None
+        p.entries[0].node.config_read_ms = lambda: None
         assert (await p.call(authorization="Token new")).status == 503
         assert (await p.call(authorization=OURS)).status == 200
 
@@ -292,4 +292,4 @@
         both = [workspace_fields(name, "k") for name in ("b", "a")]
         fields = config_fields((), workspaces=[both[n] for n in order])
         catalog = decode_catalog(json.dumps(fields))
-        assert catalog.workspaces.of_key("k").workspace_id == "a"
+        assert catalog.workspaces.find_by_key("k").workspace_id == "a"
--- a/dahliashunt/platform/tests/test_limits.py
+++ b/dahliashunt/platform/tests/test_limits.py
@@ -7,7 +7,7 @@
 
 from dahliashunt.adapters.clock import SystemClock
 from dahliashunt.adapters.slots import SlotServer
-from dahliashunt.decisions.slot_keeper import SlotKeeper
+from dahliashunt.decisions.slot_allocator import SlotAllocator
 from dahliashunt.metrics import Metrics
 from dahliashunt.platform.standins.settings import config_fields
 from dahliashunt.platform.standins.settings import route_fields
@@ -35,7 +35,10 @@
 async def with_agent(p, scenario):
     """Run `scenario` with an agent beside the entry's replica."""
     server = SlotServer(
-        SlotKeeper(8), SystemClock(), Metrics("agent"), structlog.get_logger()
+        SlotAllocator(8),
+        SystemClock(),
+        Metrics("agent"),
+        structlog.get_logger(),
     )
     await server.start("127.0.0.1", p.entries[0].first_port)
     try:
--- a/dahliashunt/platform/tests/test_online.py
+++ b/dahliashunt/platform/tests/test_online.py
@@ -7,7 +7,7 @@
 from dahliashunt.adapters.http1 import ConnectionPool
 from dahliashunt.adapters.http1 import End
 from dahliashunt.adapters.http1 import open_connection
-from dahliashunt.forwarding.replicas import AFTER_OUTAGE_MS
+from dahliashunt.forwarding.replicas import OUTAGE_GRACE_MS
 from dahliashunt.platform import serve_entry
 from dahliashunt.platform.standins.caller import caller_request
 from dahliashunt.platform.standins.settings import config_fields
@@ -234,8 +234,8 @@
         address = leaving._server.sockets[0].getsockname()
         fields = replica_fields(address, state="draining")
         p.store.list_replica(leaving.replica_id, fields)
-        book = p.entries[0].node.book
-        await p.until(lambda: book.get("i-0").leaving)
+        registry = p.entries[0].node.registry
+        await p.until(lambda: registry.get("i-0").leaving)
         for number in range(6):
             await p.call(request_id=f"r{number}")
         assert leaving.arrivals == []
@@ -442,10 +442,10 @@
         p.store.trouble.status = None
         await p.until(lambda: entry.node.ready)
         other = await p.add_replica()
-        book = entry.node.book
-        await p.until(lambda: book.get(other.replica_id) is not None)
+        registry = entry.node.registry
+        await p.until(lambda: registry.get(other.replica_id) is not None)
         # What lapsed in an outage is kept for a while, and then dropped.
-        book.expire(entry.node.clock.now_ms() + AFTER_OUTAGE_MS)
-        assert book.get(replica.replica_id) is not None
+        registry.expire(entry.node.clock.now_ms() + OUTAGE_GRACE_MS)
+        assert registry.get(replica.replica_id) is not None
 
     platform(scenario)
--- a/dahliashunt/platform/tests/test_shapes.py
+++ b/dahliashunt/platform/tests/test_shapes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from dahliashunt.decisions.partners import MOST_PARTNERS
+from dahliashunt.decisions.partners import MAX_PARTNERS
 from dahliashunt.platform.standins.settings import replica_fields
 from dahliashunt.platform.standins.settings import route_fields
 from dahliashunt.platform.tests.test_jobs import job_body
@@ -45,7 +45,7 @@
     "two models, one plain": Shape({"a": True, "b": True, "c": False}),
     "wide slots": Shape({"m": True}, replicas=1, slots=64, jobs=12),
     "more replicas than partners": Shape(
-        {"m": True}, replicas=MOST_PARTNERS + 6, slots=1, jobs=20
+        {"m": True}, replicas=MAX_PARTNERS + 6, slots=1, jobs=20
     ),
     "more entries than replicas": Shape({"m": True}, entries=6, replicas=1),
     "another host and path": Shape({"m": True}, host="a.b.c", prefix="/"),
@@ -195,7 +195,7 @@
         for name in ("zone", "slots", "cold-left-ms", "seq"):
             del fields[name]
         p.store.list_replica(replica.replica_id, json.dumps(fields))
-        await p.until(lambda: p.entries[0].node.book.of_service("s"))
+        await p.until(lambda: p.entries[0].node.registry.of_service("s"))
         assert (await p.call(target="/", host="x")).status == 200
 
     platform(scenario, replicas=0, config=config)
--- a/examples/gallery/drive_agent.py
+++ b/examples/gallery/drive_agent.py
@@ -11,17 +11,17 @@
 
 from dahliashunt.decisions.agent import AgentDecisions
 from dahliashunt.decisions.agent_policy import AgentPolicy
+from dahliashunt.decisions.events import AttemptRequest
 from dahliashunt.decisions.events import Preempt
 from dahliashunt.decisions.events import Priority
 from dahliashunt.decisions.events import Start
-from dahliashunt.decisions.events import Work
 
 PLACES = 4
 
 
 def work(name, priority, now):
     """Return an attempt of 100 prompt and 50 output tokens."""
-    return Work(name, priority, "museum", 100, 50, now + 700, True)
+    return AttemptRequest(name, priority, "museum", 100, 50, now + 700, True)
 
 
 def play(write=print):
--- a/examples/gallery/drive_entry.py
+++ b/examples/gallery/drive_entry.py
@@ -14,7 +14,7 @@
 from dahliashunt.decisions.events import AttemptEnd
 from dahliashunt.decisions.events import Dispatch
 from dahliashunt.decisions.events import EndpointInfo
-from dahliashunt.decisions.events import GiveUp
+from dahliashunt.decisions.events import FailRequest
 from dahliashunt.decisions.events import OnlineRequest
 
 SERVICE_MS = 400
@@ -65,7 +65,7 @@
             if isinstance(decision, Dispatch):
                 write(f"{now:5} dispatch {decision.request_id}")
                 running.append((now + SERVICE_MS, decision.request_id))
-            elif isinstance(decision, GiveUp):
+            elif isinstance(decision, FailRequest):
                 after = decision.retry_after_ms
                 write(f"{now:5} refuse {decision.request_id}, in {after} ms")
                 refused += 1
