--- a/dahliashunt/decisions/caller_wait.py
+++ b/dahliashunt/decisions/caller_wait.py
@@ -33,17 +33,17 @@
 
 __all__ = ["CallerWaits"]
 
-REMEMBERED = 50
+WINDOW_CALLERS = 50
 """Last callers of a route that count: some seconds of an entry's load."""
 
-FAIR_PART = 0.2
+COMMON_SHARE = 0.2
 """Part of the remembered callers that must have had as long: well over the
 few that are more patient, and under the new ones in a backlog."""
 
-FEWEST = 5
+MIN_CALLERS = 5
 """Callers before the usual time is taken as known."""
 
-ALIKE_MS = 50
+BUCKET_MS = 50
 """Times that differ by less are the same: what the way took is in them."""
 
 
@@ -62,7 +62,7 @@
     """
 
     def __init__(self):
-        self._last_by_route: dict[str, deque[int]] = {}
+        self._window_by_route: dict[str, deque[int]] = {}
 
     def waited_ms(self, route: str, left_ms: int, limit_ms: int) -> int:
         """Return how long a caller had waited when it came, in ms.
@@ -75,22 +75,30 @@
         limit_ms : int
             Longest time that the route keeps any request.
         """
-        last = self._last_by_route.setdefault(route, deque(maxlen=REMEMBERED))
-        usual_ms = _usual_ms(last) if len(last) >= FEWEST else limit_ms
-        last.append(min(left_ms, limit_ms))
-        waited_ms = min(usual_ms, limit_ms) - left_ms
-        return waited_ms if waited_ms >= ALIKE_MS else 0
+        window = self._window_by_route.setdefault(
+            route, deque(maxlen=WINDOW_CALLERS)
+        )
+        usual_patience_ms = (
+            _usual_patience_ms(window)
+            if len(window) >= MIN_CALLERS
+            else limit_ms
+        )
+        window.append(min(left_ms, limit_ms))
+        waited_ms = min(usual_patience_ms, limit_ms) - left_ms
+        return waited_ms if waited_ms >= BUCKET_MS else 0
 
     def keep_only(self, routes) -> None:
         """Forget routes that are not in `routes`."""
-        for route in list(self._last_by_route):
+        for route in list(self._window_by_route):
             if route not in routes:
-                del self._last_by_route[route]
+                del self._window_by_route[route]
 
 
-def _usual_ms(last):
-    count_by_time = Counter(left_ms // ALIKE_MS for left_ms in last)
-    fair = FAIR_PART * len(last)
-    common = [time for time, count in count_by_time.items() if count >= fair]
+def _usual_patience_ms(window):
+    count_by_time = Counter(left_ms // BUCKET_MS for left_ms in window)
+    min_count = COMMON_SHARE * len(window)
+    common = [
+        time for time, count in count_by_time.items() if count >= min_count
+    ]
     longest = max(common, default=max(count_by_time))
-    return max(each for each in last if each // ALIKE_MS == longest)
+    return max(each for each in window if each // BUCKET_MS == longest)
--- a/dahliashunt/decisions/item_order.py
+++ b/dahliashunt/decisions/item_order.py
@@ -47,17 +47,17 @@
 
 __all__ = ["ItemOrder", "WaitingItem"]
 
-FIRST_USUAL_MS = 5_000
+INITIAL_RUN_MS = 5_000
 """How long an item holds slots, in ms, before any was done here: some 170
 events of 30 ms."""
 
-LEARN_WEIGHT = 0.1
+EWMA_WEIGHT = 0.1
 """Weight of a new item in the mean: the last ten or so count."""
 
-LEAST_LEFT = 0.1
+MIN_REMAINING_SHARE = 0.1
 """Share of a usual run that an item needs at the least."""
 
-YIELDS_FIRST_MS = 3_600_000
+INFEASIBLE_SLACK_MS = 3_600_000
 """Added to the slack of an item that can't be in time: more than any
 slack, so that it gives its slot up before all that can."""
 
@@ -94,36 +94,39 @@
     """
 
     def __init__(self):
-        self.usual_ms: float = FIRST_USUAL_MS
+        self.mean_run_ms: float = INITIAL_RUN_MS
         self._feasible: list = []
-        self._late: list = []
-        self._numbers = itertools.count()
+        self._infeasible: list = []
+        self._sequence = itertools.count()
 
     def __len__(self):
-        return len(self._feasible) + len(self._late)
+        return len(self._feasible) + len(self._infeasible)
 
     def put(self, item: WaitingItem) -> None:
         """Add an item, or put one back."""
-        entry = (item.due_ms, next(self._numbers), item)
+        entry = (item.due_ms, next(self._sequence), item)
         heapq.heappush(self._feasible, entry)
 
     def take(self, now_ms: int) -> WaitingItem | None:
         """Take out the item that goes next; None if there is none."""
         while self._feasible:
             entry = heapq.heappop(self._feasible)
-            if self.spare_ms(entry[2], now_ms) >= 0:
+            if self.laxity_ms(entry[2], now_ms) >= 0:
                 return entry[2]
-            heapq.heappush(self._late, entry)
-        return heapq.heappop(self._late)[2] if self._late else None
+            heapq.heappush(self._infeasible, entry)
+        return heapq.heappop(self._infeasible)[2] if self._infeasible else None
 
     def done(self, ran_ms: int) -> None:
         """Learn from an item that was done after holding slots `ran_ms`."""
-        self.usual_ms += LEARN_WEIGHT * (ran_ms - self.usual_ms)
+        self.mean_run_ms += EWMA_WEIGHT * (ran_ms - self.mean_run_ms)
 
-    def spare_ms(self, item: WaitingItem, now_ms: int) -> int:
+    def laxity_ms(self, item: WaitingItem, now_ms: int) -> int:
         """Return how long `item` may still wait; below 0 it is late."""
-        left_ms = max(self.usual_ms - item.ran_ms, LEAST_LEFT * self.usual_ms)
-        return item.due_ms - now_ms - int(left_ms)
+        remaining_ms = max(
+            self.mean_run_ms - item.ran_ms,
+            MIN_REMAINING_SHARE * self.mean_run_ms,
+        )
+        return item.due_ms - now_ms - int(remaining_ms)
 
     def slack_ms(self, item: WaitingItem, now_ms: int) -> int:
         """Return the slack by which the replica's agent chooses.
@@ -131,6 +134,6 @@
         The item with the most gives up its slot first.
         """
         slack_ms = max(0, item.due_ms - now_ms)
-        if self.spare_ms(item, now_ms) < 0:
-            return YIELDS_FIRST_MS + slack_ms
+        if self.laxity_ms(item, now_ms) < 0:
+            return INFEASIBLE_SLACK_MS + slack_ms
         return slack_ms
--- a/dahliashunt/decisions/load_bucket.py
+++ b/dahliashunt/decisions/load_bucket.py
@@ -19,18 +19,18 @@
     def __init__(self, policy: PlacementPolicy):
         self._policy = policy
         self._bytes = 0.0
-        self._at_ms: int | None = None
+        self._refilled_ms: int | None = None
 
     def refill(self, now: int, rate_bytes_s: float) -> None:
         """Add what the store gives since the last call."""
         usable = rate_bytes_s * self._policy.weight_rate_share
         burst = usable * self._policy.load_burst_s
-        if self._at_ms is None:
+        if self._refilled_ms is None:
             self._bytes = burst
         else:
-            elapsed_s = (now - self._at_ms) / 1000
+            elapsed_s = (now - self._refilled_ms) / 1000
             self._bytes = min(burst, self._bytes + usable * elapsed_s)
-        self._at_ms = now
+        self._refilled_ms = now
 
     def admit(self, size: int, in_progress: int) -> bool:
         """Return whether a load of `size` may start, and charge it.
--- a/dahliashunt/decisions/loss_counts.py
+++ b/dahliashunt/decisions/loss_counts.py
@@ -7,7 +7,7 @@
 runs there, for some seconds; five resends take a fleet of five.
 
 How: losses are counted by the request's digest over all entries. After
-`MOST_LOSSES` in a row the request gets its final answer without being
+`MAX_LOSSES` in a row the request gets its final answer without being
 sent, for a term that doubles with each further loss. One run that is
 served in between clears it: a popular request that was lost with three
 replicas by bad luck is served thousands of times meanwhile, a crashing
@@ -35,18 +35,18 @@
 
 __all__ = ["LossCounts"]
 
-MOST_LOSSES = 3
+MAX_LOSSES = 3
 """Replicas that one request may take down before it is refused."""
 
-FIRST_TERM_MS = 5_000
+INITIAL_QUARANTINE_MS = 5_000
 """First term without being sent; replicas are back after some seconds."""
 
-FORGET_MS = 600_000
+MAX_QUARANTINE_MS = 600_000
 """Longest term: ten minutes, as for suspects of the product's own fleets.
 Counts stand twice as long, so that a crashing request which comes after its
 term is refused again for the first replica that it takes."""
 
-MOST_COUNTS = 10_000
+MAX_DIGESTS = 10_000
 """Digests remembered; the oldest go first."""
 
 
@@ -72,9 +72,9 @@
     False
     """
 
-    def __init__(self, most: int = MOST_COUNTS):
-        self._most = most
-        self._count_by: dict[Fingerprint, _Count] = {}
+    def __init__(self, max_digests: int = MAX_DIGESTS):
+        self._max_digests = max_digests
+        self._count_by_digest: dict[Fingerprint, _Count] = {}
 
     def lost(self, digest: Fingerprint, began_ms: int, now_ms: int) -> int:
         """Note a run that is lost here; return the losses in a row.
@@ -87,40 +87,44 @@
         now_ms : int
         """
         losses = self.losses(digest, now_ms)
-        if losses and began_ms < self._count_by[digest].counted_ms:
+        if losses and began_ms < self._count_by_digest[digest].counted_ms:
             return losses
         self._put(digest, _Count(losses + 1, now_ms))
         return losses + 1
 
     def learn(self, digest: Fingerprint, losses: int, now_ms: int) -> int:
         """Take over a count of all entries; return the higher one."""
-        held = self.losses(digest, now_ms)
-        if losses > held:
+        known = self.losses(digest, now_ms)
+        if losses > known:
             self._put(digest, _Count(losses, now_ms))
-        return max(losses, held)
+        return max(losses, known)
 
     def _put(self, digest, count):
-        self._count_by.pop(digest, None)
-        self._count_by[digest] = count
-        while len(self._count_by) > self._most:
-            del self._count_by[next(iter(self._count_by))]
+        self._count_by_digest.pop(digest, None)
+        self._count_by_digest[digest] = count
+        while len(self._count_by_digest) > self._max_digests:
+            del self._count_by_digest[next(iter(self._count_by_digest))]
 
     def losses(self, digest: Fingerprint, now_ms: int) -> int:
         """Return the losses in a row that are remembered."""
-        count = self._count_by.get(digest)
-        if count is None or now_ms - count.counted_ms >= 2 * FORGET_MS:
+        count = self._count_by_digest.get(digest)
+        if count is None or now_ms - count.counted_ms >= 2 * MAX_QUARANTINE_MS:
             return 0
         return count.losses
 
     def served(self, digest: Fingerprint) -> bool:
         """Clear `digest`; return whether anything was remembered."""
-        return self._count_by.pop(digest, None) is not None
+        return self._count_by_digest.pop(digest, None) is not None
 
     def is_convicted(self, digest: Fingerprint, now_ms: int) -> bool:
         """Tell whether the request is not to be sent now."""
         losses = self.losses(digest, now_ms)
-        if losses < MOST_LOSSES:
+        if losses < MAX_LOSSES:
             return False
-        doublings = min(losses - MOST_LOSSES, 10)
-        term_ms = min(FIRST_TERM_MS << doublings, FORGET_MS)
-        return now_ms - self._count_by[digest].counted_ms < term_ms
+        doublings = min(losses - MAX_LOSSES, 10)
+        quarantine_ms = min(
+            INITIAL_QUARANTINE_MS << doublings, MAX_QUARANTINE_MS
+        )
+        return (
+            now_ms - self._count_by_digest[digest].counted_ms < quarantine_ms
+        )
--- a/dahliashunt/decisions/replica_choice.py
+++ b/dahliashunt/decisions/replica_choice.py
@@ -41,16 +41,16 @@
 
 __all__ = ["Candidate", "order_replicas"]
 
-ROOM_FOR_AFFINITY = 2
+MIN_FREE_FOR_AFFINITY = 2
 """Free slots that the replica with the prompt's parts must have to go
 first. Reading 200 shared tokens again takes some 3 ms; a busy replica
 costs a revoked batch item or a wait."""
 
-ALIKE_SLOTS = 2
+SIMILAR_LOAD_SLOTS = 2
 """Replicas whose free slots differ by less are alike in load: what is known
 of a busy one is a request old. Among them a standing connection decides."""
 
-FRESH_MS = 2_000
+MAX_LOAD_AGE_MS = 2_000
 """Older knowledge of a replica's load is taken as unknown."""
 
 
@@ -117,50 +117,50 @@
     ordered = sorted(candidates, key=lambda one: _rank(one, rng))
     if not affinity:
         return ordered
-    keeper = max(
-        (one for one in ordered if _may_keep(one)),
-        key=lambda one: _weight(affinity, one.replica_id),
+    preferred = max(
+        (one for one in ordered if _is_eligible(one)),
+        key=lambda one: _rendezvous_score(affinity, one.replica_id),
         default=None,
     )
-    if keeper is None or _free(keeper) < ROOM_FOR_AFFINITY:
+    if preferred is None or _free_slots(preferred) < MIN_FREE_FOR_AFFINITY:
         return ordered
-    if not _has_idle(keeper) and _has_idle(ordered[0]):
+    if not _has_idle_slot(preferred) and _has_idle_slot(ordered[0]):
         return ordered
-    return [keeper, *(one for one in ordered if one is not keeper)]
+    return [preferred, *(one for one in ordered if one is not preferred)]
 
 
 def _rank(one, rng):
-    no_room = _free(one) == 0
+    is_full = _free_slots(one) == 0
     return (
         one.avoided,
-        no_room,
+        is_full,
         one.unheard,
         one.cold,
-        not _has_idle(one),
-        -(_free(one) // ALIKE_SLOTS),
+        not _has_idle_slot(one),
+        -(_free_slots(one) // SIMILAR_LOAD_SLOTS),
         not one.connected,
-        -_free(one),
+        -_free_slots(one),
         not one.near,
         rng.random(),
     )
 
 
-def _free(one):
+def _free_slots(one):
     # Unknown load counts as half full: better than a replica that is known
     # to be full, worse than one that is known to have room.
-    if one.age_ms > FRESH_MS:
+    if one.age_ms > MAX_LOAD_AGE_MS:
         return max(0, one.slots // 2 - one.taken)
     return max(0, one.slots - one.taken)
 
 
-def _may_keep(one):
+def _is_eligible(one):
     return not (one.avoided or one.cold or one.unheard)
 
 
-def _has_idle(one):
-    return _free(one) > one.batch
+def _has_idle_slot(one):
+    return _free_slots(one) > one.batch
 
 
-def _weight(affinity, replica_id):
+def _rendezvous_score(affinity, replica_id):
     text = f"{affinity}|{replica_id}".encode()
     return hashlib.blake2b(text, digest_size=8).digest()
--- a/dahliashunt/decisions/replica_targets.py
+++ b/dahliashunt/decisions/replica_targets.py
@@ -85,7 +85,7 @@
     changed_ms: int
     sample_end_ms: int
     samples: deque
-    now_demands: list = field(default_factory=list)
+    interval_demands: list = field(default_factory=list)
 
 
 class ReplicaTargets:
@@ -116,20 +116,20 @@
             self._by_model[name] = state
         self._sample(now, state, demand.demand_replicas)
         if now - state.changed_ms >= policy.dwell_ms:
-            self._step(now, state)
+            self._adjust(now, state)
         state.target = max(floor, min(ceiling, state.target))
         return state.target
 
     def _sample(self, now: int, state: _State, demand: float) -> None:
-        state.now_demands.append(demand)
+        state.interval_demands.append(demand)
         if now < state.sample_end_ms:
             return
-        mean = sum(state.now_demands) / len(state.now_demands)
+        mean = sum(state.interval_demands) / len(state.interval_demands)
         state.samples.append(mean)
-        state.now_demands = []
+        state.interval_demands = []
         state.sample_end_ms = now + self._policy.sample_ms
 
-    def _step(self, now: int, state: _State) -> None:
+    def _adjust(self, now: int, state: _State) -> None:
         if 2 * len(state.samples) < self._policy.samples:
             return
         count = state.target
--- a/dahliashunt/decisions/return_time.py
+++ b/dahliashunt/decisions/return_time.py
@@ -37,14 +37,14 @@
 
 __all__ = ["HoldTimes", "return_after_ms", "return_after_outage_ms"]
 
-FIRST_HOLD_MS = 700
+INITIAL_HOLD_MS = 700
 """Time a slot is held before any was seen to end; about 250 output tokens
 at 2.8 ms a token."""
 
-HOLD_WEIGHT = 0.1
+HOLD_EWMA_WEIGHT = 0.1
 """Weight of a new hold in the mean: the last ten or so count."""
 
-LEAST_HOLD_MS = 100
+MIN_HOLD_MS = 100
 """Requests that end sooner were cut or were short answers: a caller that
 comes back as soon meets the same wave."""
 
@@ -57,7 +57,7 @@
 """Bounds of Retry-After in an outage: another node takes an early retry,
 and a third of five seconds is the longest that callers wait."""
 
-OUTAGE_SPREAD = (0.7, 1.3)
+OUTAGE_JITTER = (0.7, 1.3)
 """Callers of one moment come back over so much of the time."""
 
 
@@ -80,14 +80,14 @@
 
     def ended(self, service: str, held_ms: int) -> None:
         """Note that a request gave back its slot after `held_ms`."""
-        mean_ms = self._mean_ms_by_service.get(service, FIRST_HOLD_MS)
-        mean_ms += HOLD_WEIGHT * (held_ms - mean_ms)
+        mean_ms = self._mean_ms_by_service.get(service, INITIAL_HOLD_MS)
+        mean_ms += HOLD_EWMA_WEIGHT * (held_ms - mean_ms)
         self._mean_ms_by_service[service] = mean_ms
 
     def mean_ms(self, service: str) -> int:
         """Return the learned time, in milliseconds."""
-        mean_ms = self._mean_ms_by_service.get(service, FIRST_HOLD_MS)
-        return max(LEAST_HOLD_MS, round(mean_ms))
+        mean_ms = self._mean_ms_by_service.get(service, INITIAL_HOLD_MS)
+        return max(MIN_HOLD_MS, round(mean_ms))
 
 
 def return_after_ms(hold_ms: int, wait_ms: int, rng: random.Random) -> int:
@@ -106,8 +106,8 @@
     >>> 700 <= return_after_ms(700, 0, random.Random(1)) <= 1470
     True
     """
-    after_ms = int(hold_ms * rng.uniform(*TURNS))
-    return max(wait_ms, after_ms)
+    delay_ms = int(hold_ms * rng.uniform(*TURNS))
+    return max(wait_ms, delay_ms)
 
 
 def return_after_outage_ms(lasted_ms: int, rng: random.Random) -> int:
@@ -126,6 +126,6 @@
     >>> return_after_outage_ms(60_000, random.Random(1))
     1600
     """
-    least_ms, most_ms = OUTAGE_MS
-    after_ms = int(lasted_ms * rng.uniform(*OUTAGE_SPREAD))
-    return max(least_ms, min(most_ms, after_ms))
+    min_ms, max_ms = OUTAGE_MS
+    delay_ms = int(lasted_ms * rng.uniform(*OUTAGE_JITTER))
+    return max(min_ms, min(max_ms, delay_ms))
--- a/dahliashunt/decisions/slot_holds.py
+++ b/dahliashunt/decisions/slot_holds.py
@@ -16,17 +16,17 @@
 from dahliashunt.ids import AttemptId
 from dahliashunt.ids import RequestId
 
-__all__ = ["RENEW_WITHIN_MS", "UNSEEN_MS", "Hold", "SlotHolds"]
+__all__ = ["HOLD_TTL_MS", "START_GRACE_MS", "Hold", "SlotHolds"]
 
-RENEW_WITHIN_MS = 3_500
+HOLD_TTL_MS = 3_500
 """A hold that was not renewed for so long is dropped: askers renew every
 second, so three renewals in a row were lost or the asker is gone."""
 
-UNSEEN_MS = 800
+START_GRACE_MS = 800
 """A hold this old that the replica neither runs nor queues is dropped; a
 granted request reaches its replica within some milliseconds."""
 
-REVOKED_MS = 300
+REVOKE_GRACE_MS = 300
 """For so long after it was told to stop a run is not counted: closing the
 connection reaches the replica in a round trip."""
 
@@ -62,13 +62,13 @@
     """
 
     by_id: dict[AttemptId, Hold] = field(default_factory=dict)
-    foreign: int = 0
+    unmatched: int = 0
     _revoked_ms_by_run: dict[RequestId, int] = field(default_factory=dict)
 
     @property
     def used(self) -> int:
         """Slots that are taken, by holds or others."""
-        return len(self.by_id) + self.foreign
+        return len(self.by_id) + self.unmatched
 
     def count(self, use: Use) -> int:
         """Return the holds for `use`."""
@@ -90,7 +90,7 @@
             if hold is not None and hold.ask.asker == asker:
                 hold.renewed_ms = now_ms
 
-    def take_back(self, now_ms: int) -> Ask | None:
+    def revoke_batch(self, now_ms: int) -> Ask | None:
         """Drop the batch hold with the most slack; None if there is none."""
         batch = [
             hold for hold in self.by_id.values() if hold.ask.use is Use.BATCH
@@ -102,7 +102,7 @@
         self._revoked_ms_by_run[ask.run_id] = now_ms
         return ask
 
-    def compare(self, running: frozenset, waiting: int, now_ms: int) -> None:
+    def reconcile(self, running: frozenset, waiting: int, now_ms: int) -> None:
         """Take over what the replica says that it runs.
 
         Parameters
@@ -113,20 +113,20 @@
         now_ms : int
         """
         for attempt_id, hold in list(self.by_id.items()):
-            silent = now_ms - hold.renewed_ms > RENEW_WITHIN_MS
-            unseen = (
+            is_expired = now_ms - hold.renewed_ms > HOLD_TTL_MS
+            is_missing = (
                 waiting == 0
                 and hold.ask.run_id not in running
-                and now_ms - hold.since_ms > UNSEEN_MS
+                and now_ms - hold.since_ms > START_GRACE_MS
             )
-            if silent or unseen:
+            if is_expired or is_missing:
                 del self.by_id[attempt_id]
         for run_id, at_ms in list(self._revoked_ms_by_run.items()):
-            if now_ms - at_ms > REVOKED_MS:
+            if now_ms - at_ms > REVOKE_GRACE_MS:
                 del self._revoked_ms_by_run[run_id]
-        self.foreign = self._count_foreign(running, waiting)
+        self.unmatched = self._count_unmatched(running, waiting)
 
-    def _count_foreign(self, running, waiting):
+    def _count_unmatched(self, running, waiting):
         held = {hold.ask.run_id for hold in self.by_id.values()}
         unknown = len(running - held - self._revoked_ms_by_run.keys())
         queued = len(held - running)
--- a/dahliashunt/decisions/slot_keeper.py
+++ b/dahliashunt/decisions/slot_keeper.py
@@ -51,11 +51,11 @@
 
 __all__ = ["RECENT_MS", "SlotKeeper"]
 
-FIRST_HOLD_MS = 700
+INITIAL_HOLD_MS = 700
 """Time a slot is held by an online request before any was seen to end;
 about 250 output tokens at 2.8 ms a token."""
 
-HOLD_WEIGHT = 0.1
+HOLD_EWMA_WEIGHT = 0.1
 """Weight of a new hold in the mean: the last ten or so count."""
 
 RECENT_MS = 100
@@ -65,7 +65,7 @@
 Longer makes items late, without it twice as many are revoked."""
 
 
-IN_TURN = 4
+LOW_PRIORITY_INTERVAL = 4
 """Each so many-th slot that becomes free goes to a less urgent request, if
 one waits: then these get a quarter of the slots at the least."""
 
@@ -73,11 +73,11 @@
 @dataclass(slots=True)
 class _Waiting:
     ask: Ask
-    until_ms: int
-    late_ms: int
+    expires_ms: int
+    deadline_ms: int
 
     def is_late(self, now_ms):
-        return now_ms > self.late_ms
+        return now_ms > self.deadline_ms
 
 
 @dataclass(slots=True)
@@ -92,10 +92,10 @@
 
     slots: int
     away: bool = False
-    hold_ms: float = FIRST_HOLD_MS
+    hold_ms: float = INITIAL_HOLD_MS
     _holds: SlotHolds = field(default_factory=SlotHolds)
     _waiting_by_id: dict[AttemptId, _Waiting] = field(default_factory=dict)
-    _left: list[tuple[int, int]] = field(default_factory=list)
+    _recent_online: list[tuple[int, int]] = field(default_factory=list)
     _grants: int = 0
 
     @property
@@ -108,27 +108,29 @@
         held = self._holds.by_id.get(ask.attempt_id)
         if held is not None:
             held.renewed_ms = now_ms
-            return [_say(ask, Verdict.GRANTED)]
+            return [_answer(ask, Verdict.GRANTED)]
         if ask.attempt_id in self._waiting_by_id:
-            return [_say(ask, Verdict.QUEUED)]
+            return [_answer(ask, Verdict.QUEUED)]
         if self.away:
-            return [_say(ask, Verdict.AWAY)]
+            return [_answer(ask, Verdict.AWAY)]
         if ask.use is Use.BATCH:
             return self._ask_batch(ask, now_ms)
         return self._ask_online(ask, now_ms)
 
     def _ask_batch(self, ask, now_ms):
-        online = self._recent_online(now_ms)
+        online = self._peak_online(now_ms)
         holds = self._holds
-        taken = online + holds.count(Use.BATCH) + holds.foreign
+        taken = online + holds.count(Use.BATCH) + holds.unmatched
         if self._waiting_by_id or taken >= self.slots:
-            return [_say(ask, Verdict.FULL)]
+            return [_answer(ask, Verdict.FULL)]
         return [self._grant(ask, now_ms)]
 
-    def _recent_online(self, now_ms):
+    def _peak_online(self, now_ms):
         """Return the most slots that online requests held just now."""
-        self._left = [each for each in self._left if each[0] > now_ms]
-        counts = (count for _, count in self._left)
+        self._recent_online = [
+            each for each in self._recent_online if each[0] > now_ms
+        ]
+        counts = (count for _, count in self._recent_online)
         return max(self._holds.count(Use.ONLINE), *counts, 0)
 
     def _ask_online(self, ask, now_ms):
@@ -138,28 +140,33 @@
             revoked = self._revoke(now_ms)
             if revoked is not None:
                 return [revoked, self._grant(ask, now_ms)]
-        useful_ms = min(ask.slack_ms, ask.wait_ms) or ask.wait_ms
-        if self._wait_behind_ms(ask, now_ms) > useful_ms:
-            return [_say(ask, Verdict.FULL)]
+        max_delay_ms = min(ask.slack_ms, ask.wait_ms) or ask.wait_ms
+        if self._expected_delay_ms(ask, now_ms) > max_delay_ms:
+            return [_answer(ask, Verdict.FULL)]
         self._waiting_by_id[ask.attempt_id] = _Waiting(
             ask, now_ms + ask.wait_ms, now_ms + ask.slack_ms
         )
-        return [_say(ask, Verdict.QUEUED)]
+        return [_answer(ask, Verdict.QUEUED)]
 
-    def _wait_behind_ms(self, ask, now_ms):
+    def _expected_delay_ms(self, ask, now_ms):
         """Return how long `ask` would wait behind those that go before."""
         ahead = [
             each.ask.rank
             for each in self._waiting_by_id.values()
             if not (ask.slack_ms and each.is_late(now_ms))
         ]
-        behind_ms = self._turn_ms(sum(rank <= ask.rank for rank in ahead))
+        delay_ms = self._queue_delay_ms(
+            sum(rank <= ask.rank for rank in ahead)
+        )
         if ask.rank > min(ahead, default=ask.rank):
-            lax = sum(rank > min(ahead) for rank in ahead)
-            return min(behind_ms, IN_TURN * self._turn_ms(lax))
-        return behind_ms
-
-    def _turn_ms(self, ahead):
+            low_priority = sum(rank > min(ahead) for rank in ahead)
+            return min(
+                delay_ms,
+                LOW_PRIORITY_INTERVAL * self._queue_delay_ms(low_priority),
+            )
+        return delay_ms
+
+    def _queue_delay_ms(self, ahead):
         return int((ahead + 1) * self.hold_ms / max(1, self.slots))
 
     def release(self, attempt_id: AttemptId, now_ms: int) -> list:
@@ -169,10 +176,10 @@
         if held is None:
             return []
         if held.ask.use is Use.ONLINE:
-            before = self._holds.count(Use.ONLINE) + 1
-            self._left.append((now_ms + RECENT_MS, before))
+            online_count = self._holds.count(Use.ONLINE) + 1
+            self._recent_online.append((now_ms + RECENT_MS, online_count))
             lasted_ms = now_ms - held.since_ms
-            self.hold_ms += HOLD_WEIGHT * (lasted_ms - self.hold_ms)
+            self.hold_ms += HOLD_EWMA_WEIGHT * (lasted_ms - self.hold_ms)
         return self._grant_waiting(now_ms)
 
     def renew(self, attempt_ids, asker, now_ms: int) -> None:
@@ -181,7 +188,7 @@
 
     def report(self, running: frozenset, waiting: int, now_ms: int) -> list:
         """Compare with what the replica says that it runs and queues."""
-        self._holds.compare(running, waiting, now_ms)
+        self._holds.reconcile(running, waiting, now_ms)
         return self._grant_waiting(now_ms)
 
     def expected_wait_ms(self) -> int:
@@ -190,13 +197,13 @@
             self._holds.used < self.slots or self._holds.count(Use.BATCH)
         ):
             return 0
-        return self._turn_ms(len(self._waiting_by_id))
+        return self._queue_delay_ms(len(self._waiting_by_id))
 
     def state(self) -> KeeperState:
         """Return what entries are told."""
         return KeeperState(
             slots=self.slots,
-            online=self._holds.count(Use.ONLINE) + self._holds.foreign,
+            online=self._holds.count(Use.ONLINE) + self._holds.unmatched,
             batch=self._holds.count(Use.BATCH),
             waiting=len(self._waiting_by_id),
             wait_ms=self.expected_wait_ms(),
@@ -205,39 +212,39 @@
 
     def _revoke(self, now_ms):
         """Take a slot back from batch; None if it holds none."""
-        ask = self._holds.take_back(now_ms)
+        ask = self._holds.revoke_batch(now_ms)
         return ask and Revoked(ask.attempt_id, ask.asker)
 
     def _grant(self, ask, now_ms):
         self._holds.grant(ask, now_ms)
-        return _say(ask, Verdict.GRANTED)
+        return _answer(ask, Verdict.GRANTED)
 
     def _grant_waiting(self, now_ms):
         answers = []
         for attempt_id, waiting in list(self._waiting_by_id.items()):
-            if waiting.until_ms < now_ms:
+            if waiting.expires_ms < now_ms:
                 del self._waiting_by_id[attempt_id]
-                answers.append(_say(waiting.ask, Verdict.FULL))
+                answers.append(_answer(waiting.ask, Verdict.FULL))
         while self._waiting_by_id and self._holds.used < self.slots:
-            waiting = self._waiting_by_id.pop(self._next(now_ms))
+            waiting = self._waiting_by_id.pop(self._next_attempt_id(now_ms))
             answers.append(self._grant(waiting.ask, now_ms))
         return answers
 
-    def _next(self, now_ms):
+    def _next_attempt_id(self, now_ms):
         """Return whose turn it is; of equals the first that came."""
         self._grants += 1
-        best = min(each.ask.rank for each in self._waiting_by_id.values())
-        is_lax_turn = self._grants % IN_TURN == 0
+        top_rank = min(each.ask.rank for each in self._waiting_by_id.values())
+        is_low_priority_turn = self._grants % LOW_PRIORITY_INTERVAL == 0
 
-        def place(attempt_id):
+        def sort_key(attempt_id):
             waiting = self._waiting_by_id[attempt_id]
             rank = waiting.ask.rank
-            if is_lax_turn:
-                rank = rank == best
+            if is_low_priority_turn:
+                rank = rank == top_rank
             return waiting.is_late(now_ms), rank
 
-        return min(self._waiting_by_id, key=place)
+        return min(self._waiting_by_id, key=sort_key)
 
 
-def _say(ask, verdict):
+def _answer(ask, verdict):
     return Answered(ask.attempt_id, ask.asker, verdict)
--- a/dahliashunt/decisions/suspicion.py
+++ b/dahliashunt/decisions/suspicion.py
@@ -21,14 +21,14 @@
 
 __all__ = ["Suspicion"]
 
-FIRST_AVOID_MS = 400
+INITIAL_AVOID_MS = 400
 """Avoided after one failure: a restart or a lost connection is over by
 then, and a served request meanwhile clears it."""
 
-MOST_AVOID_MS = 3_000
+MAX_AVOID_MS = 3_000
 """Longest time without a probe: replicas are back after some seconds."""
 
-FORGIVE = 0.5
+SUCCESS_DECAY = 0.5
 """Share of the failure score that one served request takes away; a replica
 that fails a third of its requests stays suspected, since two served
 requests do not outweigh one failure."""
@@ -62,24 +62,24 @@
         """Note a request that the replica lost or failed."""
         record = self._record_by_id.setdefault(replica_id, _Record())
         record.score += 1
-        avoid_ms = FIRST_AVOID_MS * 2 ** (record.score - 1)
-        record.avoid_until_ms = now_ms + int(min(avoid_ms, MOST_AVOID_MS))
+        avoid_ms = INITIAL_AVOID_MS * 2 ** (record.score - 1)
+        record.avoid_until_ms = now_ms + int(min(avoid_ms, MAX_AVOID_MS))
 
     def served(self, replica_id) -> None:
         """Note a request that the replica served."""
         record = self._record_by_id.get(replica_id)
         if record is None:
             return
-        record.score *= FORGIVE
+        record.score *= SUCCESS_DECAY
         record.avoid_until_ms = 0
         record.probing_until_ms = 0
-        if record.score < FORGIVE:
+        if record.score < SUCCESS_DECAY:
             del self._record_by_id[replica_id]
 
     def is_avoided(self, replica_id, now_ms: int) -> bool:
         """Tell whether others should be asked first."""
         record = self._record_by_id.get(replica_id)
-        if record is None or record.score < FORGIVE:
+        if record is None or record.score < SUCCESS_DECAY:
             return False
         return now_ms < max(record.avoid_until_ms, record.probing_until_ms)
 
@@ -90,7 +90,7 @@
         """
         record = self._record_by_id.get(replica_id)
         if record is not None:
-            record.probing_until_ms = now_ms + FIRST_AVOID_MS
+            record.probing_until_ms = now_ms + INITIAL_AVOID_MS
 
     def keep_only(self, replica_ids) -> None:
         """Forget replicas that are not in `replica_ids`."""
--- a/dahliashunt/decisions/tests/shared_fleet.py
+++ b/dahliashunt/decisions/tests/shared_fleet.py
@@ -27,7 +27,7 @@
 
 WAVE_MS = 5_200
 CALM_MS = 3_000
-CALM_X, WAVE_X = 0.378, 1.85
+CALM_FACTOR, WAVE_FACTOR = 0.378, 1.85
 ONLINE_RUN_MS = 680
 ITEM_RUN_MS = 4_700
 ITEM_SPREAD = 0.25
@@ -41,12 +41,12 @@
 LATE_WAIT_MS = 1_200
 """What a request that is late may wait."""
 
-BACK_MS = (0, 600)
+RETURN_DELAY_MS = (0, 600)
 """After an outage callers come back within so long."""
 
 ROUND_TRIP_MS = 2
-ASKED = 6
-PAUSE_MS = (40, 90)
+MAX_ASKED = 6
+RETRY_PAUSE_MS = (40, 90)
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
 class EarliestDue(ItemOrder):
     """The baseline: by due time alone, in the queue and at the keeper."""
 
-    def spare_ms(self, item, now_ms):
+    def laxity_ms(self, item, now_ms):
         return 0
 
 
@@ -124,10 +124,10 @@
 @dataclass(slots=True, eq=False)
 class _Online:
     run_ms: float
-    came_ms: float
+    arrived_ms: float
     waited_ms: float = 0
     refused: bool = False
-    last: bool = False
+    is_final: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -136,7 +136,7 @@
     work_ms: float
     owner: int
     ran_ms: float = 0
-    began_ms: float = 0
+    started_ms: float = 0
     ended_ms: float | None = None
 
 
@@ -156,11 +156,11 @@
         self._keepers = [self._keeper() for _ in range(load.replicas)]
         self._away = set()
         self._queues = [switches.order() for _ in range(load.owners)]
-        self._pumping = set()
+        self._dispatching = set()
         self._item_by_attempt = {}
         self._items = []
         self._events = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._revokes = self._refused = 0
         self._in_time = self._returned_in_time = self._served_late = 0
         self._now_ms = 0
@@ -170,12 +170,12 @@
 
     def play(self) -> Outcome:
         """Play to the end; items run on for 18 s after the traffic."""
-        self._at(0, self._online_comes)
-        self._at(0, self._job_comes)
+        self._schedule(0, self._online_arrives)
+        self._schedule(0, self._job_arrives)
         from_ms, until_ms, count = self.load.loss
         if count:
-            self._at(from_ms, self._lose, count)
-            self._at(until_ms, self._away.clear)
+            self._schedule(from_ms, self._lose_replicas, count)
+            self._schedule(until_ms, self._away.clear)
         while self._events:
             self._now_ms, _, step, values = heapq.heappop(self._events)
             if self._now_ms > self.load.length_ms + DUE_MS:
@@ -198,38 +198,41 @@
             self._served_late,
         )
 
-    def _at(self, at_ms, step, *values):
-        entry = (at_ms, next(self._numbers), step, values)
+    def _schedule(self, at_ms, step, *values):
+        entry = (at_ms, next(self._sequence), step, values)
         heapq.heappush(self._events, entry)
 
     # Online requests.
 
-    def _online_comes(self):
+    def _online_arrives(self):
         rng = self._online_rng
         if self._now_ms > self.load.length_ms:
             return
-        most_per_ms = self.load.online_per_s * WAVE_X / 1_000
-        self._at(
-            self._now_ms + rng.expovariate(most_per_ms), self._online_comes
+        peak_per_ms = self.load.online_per_s * WAVE_FACTOR / 1_000
+        self._schedule(
+            self._now_ms + rng.expovariate(peak_per_ms), self._online_arrives
         )
         is_calm = self._now_ms % WAVE_MS < CALM_MS
         run_ms = max(150, rng.gauss(ONLINE_RUN_MS, ONLINE_RUN_MS / 4))
-        if rng.random() < (CALM_X if is_calm else WAVE_X) / WAVE_X:
-            self._comes_first(run_ms)
+        if (
+            rng.random()
+            < (CALM_FACTOR if is_calm else WAVE_FACTOR) / WAVE_FACTOR
+        ):
+            self._arrive_first(run_ms)
 
-    def _comes_first(self, run_ms):
+    def _arrive_first(self, run_ms):
         from_ms, until_ms = self.load.outage
         if from_ms <= self._now_ms < until_ms:
-            back_ms = until_ms + self._online_rng.uniform(*BACK_MS)
+            back_ms = until_ms + self._online_rng.uniform(*RETURN_DELAY_MS)
             waited_ms = back_ms - self._now_ms
-            online = _Online(run_ms, back_ms, waited_ms, last=True)
-            self._at(back_ms, self._place_online, online)
+            online = _Online(run_ms, back_ms, waited_ms, is_final=True)
+            self._schedule(back_ms, self._place_online, online)
         else:
             self._place_online(_Online(run_ms, self._now_ms))
 
     def _place_online(self, online):
-        name = f"online{next(self._numbers)}"
-        asked = self._ordered()[:ASKED]
+        name = f"online{next(self._sequence)}"
+        asked = self._ordered()[:MAX_ASKED]
         rounds = [(0, asked)]
         wait_ms, slack_ms = WAIT_MS, WAIT_MS
         if self.switches.late_yields:
@@ -241,28 +244,28 @@
             for number in numbers:
                 asker = ("online", number, online)
                 ask = Ask(name, name, asker, Use.ONLINE, wait_ms, slack_ms)
-                verdict = self._tell(self._keepers[number], ask)
+                verdict = self._request_slot(self._keepers[number], ask)
                 if verdict is not Verdict.FULL:
                     return
         self._refuse(online)
 
     def _refuse(self, online):
         return_ms = self.switches.return_ms
-        if return_ms is None or online.last:
+        if return_ms is None or online.is_final:
             self._refused += 1
             return
         after_ms = self._online_rng.uniform(*return_ms)
         online.waited_ms += after_ms
-        online.came_ms = self._now_ms + after_ms
-        online.refused = online.last = True
-        self._at(online.came_ms, self._place_online, online)
+        online.arrived_ms = self._now_ms + after_ms
+        online.refused = online.is_final = True
+        self._schedule(online.arrived_ms, self._place_online, online)
 
-    def _tell(self, keeper, ask):
+    def _request_slot(self, keeper, ask):
         effects = keeper.ask(ask, self._now_ms)
-        self._obey(effects)
+        self._apply_effects(effects)
         return effects[-1].verdict
 
-    def _obey(self, effects):
+    def _apply_effects(self, effects):
         for effect in effects:
             if isinstance(effect, Revoked):
                 self._revoked(effect.attempt_id)
@@ -273,11 +276,11 @@
         _, number, online = answered.asker
         if answered.verdict is Verdict.GRANTED:
             ended = (number, answered.attempt_id)
-            self._at(self._now_ms + online.run_ms, self._release, *ended)
+            self._schedule(self._now_ms + online.run_ms, self._release, *ended)
             self._count_served(online)
 
     def _count_served(self, online):
-        if self._now_ms - online.came_ms > WAIT_MS:
+        if self._now_ms - online.arrived_ms > WAIT_MS:
             self._served_late += 1
         elif online.refused:
             self._returned_in_time += 1
@@ -288,7 +291,7 @@
 
     def _release(self, number, attempt_id):
         keeper = self._keepers[number]
-        self._obey(keeper.release(attempt_id, self._now_ms))
+        self._apply_effects(keeper.release(attempt_id, self._now_ms))
 
     def _ordered(self):
         candidates = [
@@ -312,24 +315,24 @@
 
     # Batch items.
 
-    def _job_comes(self):
+    def _job_arrives(self):
         rng = self._jobs_rng
         if self._now_ms > self.load.length_ms:
             return
-        from_ms, until_ms, x = self.load.burst
-        most = max(1.0, x)
-        gap_ms = rng.expovariate(self.load.jobs_per_s * most / 1_000)
-        self._at(self._now_ms + gap_ms, self._job_comes)
-        now_x = x if from_ms <= self._now_ms < until_ms else 1.0
-        if rng.random() < now_x / most:
+        from_ms, until_ms, factor = self.load.burst
+        max_factor = max(1.0, factor)
+        gap_ms = rng.expovariate(self.load.jobs_per_s * max_factor / 1_000)
+        self._schedule(self._now_ms + gap_ms, self._job_arrives)
+        current_factor = factor if from_ms <= self._now_ms < until_ms else 1.0
+        if rng.random() < current_factor / max_factor:
             self._add_job()
 
     def _add_job(self):
         rng = self._jobs_rng
         owner = rng.randrange(self.load.owners)
-        usual = math.log(ITEM_RUN_MS)
+        mean_log_ms = math.log(ITEM_RUN_MS)
         for _ in range(max(1, min(24, int(rng.gauss(10, 4))))):
-            work_ms = rng.lognormvariate(usual, ITEM_SPREAD)
+            work_ms = rng.lognormvariate(mean_log_ms, ITEM_SPREAD)
             item = _Item(int(self._now_ms) + DUE_MS, work_ms, owner)
             self._items.append(item)
             self._wait(item)
@@ -337,34 +340,41 @@
     def _wait(self, item):
         waiting = WaitingItem(item.due_ms, int(item.ran_ms), item)
         self._queues[item.owner].put(waiting)
-        if item.owner not in self._pumping:
-            self._pumping.add(item.owner)
-            self._at(self._now_ms + 1, self._pump, item.owner)
+        if item.owner not in self._dispatching:
+            self._dispatching.add(item.owner)
+            self._schedule(self._now_ms + 1, self._dispatch_next, item.owner)
 
-    def _pump(self, owner):
+    def _dispatch_next(self, owner):
         queue = self._queues[owner]
         now_ms = int(self._now_ms)
         waiting = queue.take(now_ms)
         if waiting is None:
-            self._pumping.discard(owner)
+            self._dispatching.discard(owner)
             return
-        name = f"item{next(self._numbers)}"
+        name = f"item{next(self._sequence)}"
         slack_ms = queue.slack_ms(waiting, now_ms)
         ask = Ask(name, name, ("item",), Use.BATCH, 0, slack_ms)
-        for number in self._ordered()[:ASKED]:
-            if self._tell(self._keepers[number], ask) is Verdict.GRANTED:
+        for number in self._ordered()[:MAX_ASKED]:
+            if (
+                self._request_slot(self._keepers[number], ask)
+                is Verdict.GRANTED
+            ):
                 self._start(waiting.work, number, name)
-                self._at(self._now_ms + ROUND_TRIP_MS, self._pump, owner)
+                self._schedule(
+                    self._now_ms + ROUND_TRIP_MS, self._dispatch_next, owner
+                )
                 return
         queue.put(waiting)
-        pause_ms = ASKED * ROUND_TRIP_MS / 2 + self._rng.uniform(*PAUSE_MS)
-        self._at(self._now_ms + pause_ms, self._pump, owner)
+        pause_ms = MAX_ASKED * ROUND_TRIP_MS / 2 + self._rng.uniform(
+            *RETRY_PAUSE_MS
+        )
+        self._schedule(self._now_ms + pause_ms, self._dispatch_next, owner)
 
     def _start(self, item, number, name):
-        item.began_ms = self._now_ms
+        item.started_ms = self._now_ms
         self._item_by_attempt[name] = item
-        left_ms = RESTART_MS + item.work_ms - item.ran_ms
-        self._at(self._now_ms + left_ms, self._done, number, name)
+        remaining_ms = RESTART_MS + item.work_ms - item.ran_ms
+        self._schedule(self._now_ms + remaining_ms, self._done, number, name)
 
     def _done(self, number, name):
         item = self._item_by_attempt.pop(name, None)
@@ -379,11 +389,11 @@
         if item is None:
             return
         self._revokes += 1
-        made_ms = max(0, self._now_ms - item.began_ms - RESTART_MS)
-        item.ran_ms = min(item.work_ms - 1, item.ran_ms + made_ms)
+        progress_ms = max(0, self._now_ms - item.started_ms - RESTART_MS)
+        item.ran_ms = min(item.work_ms - 1, item.ran_ms + progress_ms)
         self._wait(item)
 
-    def _lose(self, count):
+    def _lose_replicas(self, count):
         for number in range(count):
             self._away.add(number)
             for name in list(self._keepers[number].held):
--- a/dahliashunt/decisions/tests/test_loss_counts.py
+++ b/dahliashunt/decisions/tests/test_loss_counts.py
@@ -1,15 +1,15 @@
 """Crashing requests and popular ones, under the losses that they meet."""
 
-from dahliashunt.decisions.loss_counts import FIRST_TERM_MS
-from dahliashunt.decisions.loss_counts import FORGET_MS
+from dahliashunt.decisions.loss_counts import INITIAL_QUARANTINE_MS
 from dahliashunt.decisions.loss_counts import LossCounts
-from dahliashunt.decisions.loss_counts import MOST_LOSSES
+from dahliashunt.decisions.loss_counts import MAX_LOSSES
+from dahliashunt.decisions.loss_counts import MAX_QUARANTINE_MS
 
 
 def test_a_request_that_takes_replicas_down_is_refused():
     # One after another, by one call's attempts or by its resends.
     counts = LossCounts()
-    for number in range(MOST_LOSSES):
+    for number in range(MAX_LOSSES):
         began_ms = 100 * number
         assert not counts.is_convicted("bad", began_ms)
         counts.lost("bad", began_ms, began_ms + 50)
@@ -36,7 +36,7 @@
         counts.lost("popular", now_ms, now_ms + 50)
         now_ms += 200
     assert counts.is_convicted("popular", now_ms)
-    assert not counts.is_convicted("popular", now_ms + FIRST_TERM_MS)
+    assert not counts.is_convicted("popular", now_ms + INITIAL_QUARANTINE_MS)
     assert counts.served("popular")
     assert not counts.is_convicted("popular", now_ms)
 
@@ -49,21 +49,21 @@
         if not counts.is_convicted("bad", now_ms):
             taken_ms.append(now_ms)
             counts.lost("bad", now_ms, now_ms + 50)
-    assert len(taken_ms) <= MOST_LOSSES + 12
+    assert len(taken_ms) <= MAX_LOSSES + 12
     last = taken_ms[-2:]
-    assert last[1] - last[0] >= FORGET_MS
+    assert last[1] - last[0] >= MAX_QUARANTINE_MS
 
 
 def test_a_count_of_another_entry_counts_here():
     counts = LossCounts()
-    counts.learn("bad", MOST_LOSSES, 0)
+    counts.learn("bad", MAX_LOSSES, 0)
     assert counts.is_convicted("bad", 1)
     counts.learn("bad", 1, 2)
-    assert counts.losses("bad", 2) == MOST_LOSSES
+    assert counts.losses("bad", 2) == MAX_LOSSES
 
 
 def test_the_oldest_digests_go_first_when_there_are_too_many():
-    counts = LossCounts(most=3)
+    counts = LossCounts(max_digests=3)
     for number in range(5):
         counts.lost(f"d{number}", number, number + 1)
     kept = [n for n in range(5) if counts.losses(f"d{n}", 5)]
--- a/dahliashunt/decisions/tests/test_partners.py
+++ b/dahliashunt/decisions/tests/test_partners.py
@@ -46,7 +46,7 @@
     assert set(choose_partners("entry-1", few)) == set(few)
 
 
-def test_outsiders_reach_replicas_that_are_nobodys_partner():
+def test_outsiders_include_every_replica_that_is_not_a_partner():
     replicas = [SimpleNamespace(replica_id=name) for name in REPLICAS]
     partners = choose_partners("entry-1", REPLICAS)
     rng = random.Random(1)
@@ -58,15 +58,15 @@
     assert reached == set(REPLICAS) - set(partners)
 
 
-def _served(ask, most_asked=6, holds=7):
+def _served_share(ask, max_asked=6, slots=7):
     """Return how many of a wave of requests find a slot at first go."""
-    free = dict.fromkeys(REPLICAS, holds)
+    free = dict.fromkeys(REPLICAS, slots)
     rng = random.Random(3)
     served = 0
-    wave = int(0.95 * holds * len(REPLICAS))
+    wave = int(0.95 * slots * len(REPLICAS))
     for number in range(wave):
         entry = ENTRIES[number % len(ENTRIES)]
-        for replica in ask(entry, rng)[:most_asked]:
+        for replica in ask(entry, rng)[:max_asked]:
             if free[replica]:
                 free[replica] -= 1
                 served += 1
@@ -79,17 +79,17 @@
     # loads: partners alone leave some replicas idle, and with outsiders
     # as many requests are served as by draws over the whole list.
     replicas = [SimpleNamespace(replica_id=name) for name in REPLICAS]
-    kept = {one: choose_partners(one, REPLICAS) for one in ENTRIES}
+    partners_of = {one: choose_partners(one, REPLICAS) for one in ENTRIES}
 
     def alone(entry, rng):
-        return rng.sample(sorted(kept[entry]), 4)
+        return rng.sample(sorted(partners_of[entry]), 4)
 
     def both(entry, rng):
-        others = draw_outsiders(replicas, kept[entry], rng)
+        others = draw_outsiders(replicas, partners_of[entry], rng)
         return alone(entry, rng) + [one.replica_id for one in others]
 
     def everywhere(entry, rng):
         return rng.sample(REPLICAS, 6)
 
-    assert 1 - _served(both) < 0.6 * (1 - _served(alone))
-    assert _served(both) > _served(everywhere) - 0.01
+    assert 1 - _served_share(both) < 0.6 * (1 - _served_share(alone))
+    assert _served_share(both) > _served_share(everywhere) - 0.01
--- a/dahliashunt/decisions/tests/test_replica_choice.py
+++ b/dahliashunt/decisions/tests/test_replica_choice.py
@@ -3,10 +3,10 @@
 import random
 
 from dahliashunt.decisions.replica_choice import Candidate
-from dahliashunt.decisions.replica_choice import FRESH_MS
+from dahliashunt.decisions.replica_choice import MAX_LOAD_AGE_MS
 from dahliashunt.decisions.replica_choice import order_replicas
-from dahliashunt.decisions.suspicion import FIRST_AVOID_MS
-from dahliashunt.decisions.suspicion import MOST_AVOID_MS
+from dahliashunt.decisions.suspicion import INITIAL_AVOID_MS
+from dahliashunt.decisions.suspicion import MAX_AVOID_MS
 from dahliashunt.decisions.suspicion import Suspicion
 
 
@@ -31,7 +31,7 @@
     assert order([broken, candidate("b", 7)]) == ["b", "a"]
 
 
-def test_a_replica_that_was_just_started_waits_for_its_warmth():
+def test_a_cold_replica_goes_after_warm_ones_with_room():
     # Replicas were replaced one after another; the new ones look idle and
     # are slow for some seconds, so that all that comes goes there and is
     # late beside warm replicas with room.
@@ -68,7 +68,7 @@
     assert order([items, candidate("b", 5)]) == ["b", "a"]
 
 
-def test_a_prompts_parts_do_not_draw_to_a_replica_just_started():
+def test_affinity_does_not_choose_a_cold_replica():
     fleet = [candidate(name) for name in "abcde"]
     (first, *_) = order(fleet, "part-7")
     started = [
@@ -91,18 +91,18 @@
     # Reading 200 shared tokens again costs 3 ms, a revoked item ten times
     # as much.
     fleet = [candidate(name) for name in "abcde"]
-    (keeper, *_) = order(fleet, "part-7")
+    (preferred, *_) = order(fleet, "part-7")
     busy = [
-        candidate(one.replica_id, batch=8 * (one.replica_id == keeper))
+        candidate(one.replica_id, batch=8 * (one.replica_id == preferred))
         for one in fleet
     ]
-    assert order(busy, "part-7")[0] != keeper
+    assert order(busy, "part-7")[0] != preferred
     all_busy = [candidate(one.replica_id, batch=8) for one in fleet]
-    assert order(all_busy, "part-7")[0] == keeper
+    assert order(all_busy, "part-7")[0] == preferred
 
 
 def test_unknown_load_counts_as_half_full():
-    unknown = candidate("a", 0, age_ms=FRESH_MS + 1)
+    unknown = candidate("a", 0, age_ms=MAX_LOAD_AGE_MS + 1)
     names = order([candidate("b", 7), unknown, candidate("c", 1)])
     assert names == ["c", "a", "b"]
 
@@ -137,11 +137,11 @@
     suspicion = Suspicion()
     for _ in range(2):
         suspicion.failed("a", 0)
-    assert suspicion.is_avoided("a", 2 * FIRST_AVOID_MS - 1)
-    assert not suspicion.is_avoided("a", 2 * FIRST_AVOID_MS)
+    assert suspicion.is_avoided("a", 2 * INITIAL_AVOID_MS - 1)
+    assert not suspicion.is_avoided("a", 2 * INITIAL_AVOID_MS)
     for _ in range(20):
         suspicion.failed("a", 0)
-    assert not suspicion.is_avoided("a", MOST_AVOID_MS)
+    assert not suspicion.is_avoided("a", MAX_AVOID_MS)
 
 
 def test_probes_come_one_at_a_time():
@@ -149,7 +149,7 @@
     # came meanwhile.
     suspicion = Suspicion()
     suspicion.failed("a", 0)
-    now_ms = FIRST_AVOID_MS
+    now_ms = INITIAL_AVOID_MS
     assert not suspicion.is_avoided("a", now_ms)
     suspicion.probe("a", now_ms)
     assert suspicion.is_avoided("a", now_ms + 1)
--- a/dahliashunt/decisions/tests/test_shared_fleet.py
+++ b/dahliashunt/decisions/tests/test_shared_fleet.py
@@ -22,7 +22,7 @@
 BURST = Load(burst=(4_000, 8_000, 6.0))
 """Six times the jobs for four seconds early on: most can be in time."""
 
-FLOOD = Load(burst=(4_000, 8_000, 12.0))
+OVERLOAD = Load(burst=(4_000, 8_000, 12.0))
 """Twelve times the jobs: more than can be in time."""
 
 LOSS = Load(
@@ -47,17 +47,17 @@
 NEXT_SLOT_MS = (100, 300)
 """The former Retry-After: when a slot is next expected."""
 
-ONE_TURN_MS = (700, 1_470)
+HOLD_BASED_DELAY_MS = (700, 1_470)
 """Retry-After by `return_time`, for holds of 0.7 s."""
 
-MORE_REFUSED = 15
+REFUSED_TOLERANCE = 15
 """One in 200 of some 3,000 online requests: batch may not be bought with
 requests refused."""
 
 
 @functools.cache
-def played(load, recent_ms=RECENT_MS, **off):
-    switches = Switches(**off)
+def simulate(load, recent_ms=RECENT_MS, **disabled):
+    switches = Switches(**disabled)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(slot_keeper, "RECENT_MS", recent_ms)
         return [Fleet(load, seed, switches).play() for seed in SEEDS]
@@ -71,59 +71,70 @@
     # Crews ask in waves while reports run in the idle slots. Requests go to
     # the replica with the fewest online requests, where an item is revoked,
     # although a slot stands idle at the next: items are stopped for nothing.
-    former = played(WAVES, idle_first=False)
-    now = played(WAVES)
-    assert mean(now, "revokes") < 0.8 * mean(former, "revokes")
-    assert mean(now, "refused") <= mean(former, "refused") + MORE_REFUSED
+    baseline = simulate(WAVES, idle_first=False)
+    current = simulate(WAVES)
+    assert mean(current, "revokes") < 0.8 * mean(baseline, "revokes")
+    assert (
+        mean(current, "refused")
+        <= mean(baseline, "refused") + REFUSED_TOLERANCE
+    )
 
 
 @pytest.mark.parametrize("load", [BURST, LOSS], ids=["burst", "loss"])
-def test_a_short_reserve_leaves_less_idle_while_items_wait(load):
+def test_a_short_cooldown_leaves_fewer_idle_slots_while_items_wait(load):
     # After each wave slots stood idle for 400 ms while items waited that
     # then came late.
-    former = played(load, recent_ms=400)
-    now = played(load)
-    assert mean(now, "late") < mean(former, "late")
-    assert mean(now, "refused") <= mean(former, "refused") + MORE_REFUSED
+    baseline = simulate(load, recent_ms=400)
+    current = simulate(load)
+    assert mean(current, "late") < mean(baseline, "late")
+    assert (
+        mean(current, "refused")
+        <= mean(baseline, "refused") + REFUSED_TOLERANCE
+    )
 
 
 def test_a_burst_of_jobs_does_not_make_all_later_items_late():
     # The office sends a season's reports in four seconds. By due time alone
     # each report that is late already goes ahead of one that is not yet,
     # and that one is late in its turn, for the rest of the evening.
-    former = played(FLOOD, order=EarliestDue)
-    now = played(FLOOD)
-    assert mean(now, "late") < mean(former, "late")
-    assert mean(now, "unfinished") <= mean(former, "unfinished")
+    baseline = simulate(OVERLOAD, order=EarliestDue)
+    current = simulate(OVERLOAD)
+    assert mean(current, "late") < mean(baseline, "late")
+    assert mean(current, "unfinished") <= mean(baseline, "unfinished")
 
 
 def test_without_revokes_a_wave_finds_the_fleet_full():
     # A wave of clerks meets replicas that reports fill for five seconds.
-    off = played(WAVES, keeper=NeverRevokes)
-    assert mean(off, "refused") > mean(played(WAVES), "refused") + MORE_REFUSED
+    disabled = simulate(WAVES, keeper=NeverRevokes)
+    assert (
+        mean(disabled, "refused")
+        > mean(simulate(WAVES), "refused") + REFUSED_TOLERANCE
+    )
 
 
 def test_items_that_cannot_be_in_time_are_done_in_the_end():
-    assert mean(played(BURST), "unfinished") == 0
+    assert mean(simulate(BURST), "unfinished") == 0
 
 
 @pytest.mark.parametrize("load", [FULL_LOSS, OUTAGE], ids=["loss", "outage"])
-def test_callers_who_come_back_after_a_turn_are_served(load):
+def test_callers_who_return_after_a_hold_time_are_served(load):
     # Clerks find every slot taken. Told to come back when the next slot is
     # free they meet the same full fleet, are refused again and give up,
     # while a second later slots stand idle.
-    former = played(load, return_ms=NEXT_SLOT_MS, late_yields=False)
-    now = played(load, return_ms=ONE_TURN_MS, late_yields=False)
-    assert mean(now, "refused") < mean(former, "refused")
-    assert mean(now, "in_time") >= 0.99 * mean(former, "in_time")
+    baseline = simulate(load, return_ms=NEXT_SLOT_MS, late_yields=False)
+    current = simulate(load, return_ms=HOLD_BASED_DELAY_MS, late_yields=False)
+    assert mean(current, "refused") < mean(baseline, "refused")
+    assert mean(current, "in_time") >= 0.99 * mean(baseline, "in_time")
 
 
 def test_a_backlog_after_an_outage_does_not_turn_new_callers_away():
     # Everything was restarted. Callers who found nobody come back at once;
     # they take every slot, are late all the same, and new callers are
     # refused in their turn.
-    former = played(OUTAGE, return_ms=ONE_TURN_MS, late_yields=False)
-    now = played(OUTAGE, return_ms=ONE_TURN_MS)
-    assert mean(now, "refused") < 0.5 * mean(former, "refused")
-    assert mean(now, "in_time") >= mean(former, "in_time")
-    assert mean(now, "late") <= mean(former, "late") + 1
+    baseline = simulate(
+        OUTAGE, return_ms=HOLD_BASED_DELAY_MS, late_yields=False
+    )
+    current = simulate(OUTAGE, return_ms=HOLD_BASED_DELAY_MS)
+    assert mean(current, "refused") < 0.5 * mean(baseline, "refused")
+    assert mean(current, "in_time") >= mean(baseline, "in_time")
+    assert mean(current, "late") <= mean(baseline, "late") + 1
--- a/dahliashunt/decisions/tests/test_slot_keeper.py
+++ b/dahliashunt/decisions/tests/test_slot_keeper.py
@@ -3,8 +3,8 @@
 import pytest
 
 from dahliashunt.decisions import slot_keeper
-from dahliashunt.decisions.slot_holds import RENEW_WITHIN_MS
-from dahliashunt.decisions.slot_holds import UNSEEN_MS
+from dahliashunt.decisions.slot_holds import HOLD_TTL_MS
+from dahliashunt.decisions.slot_holds import START_GRACE_MS
 from dahliashunt.decisions.slot_keeper import RECENT_MS
 from dahliashunt.decisions.slot_keeper import SlotKeeper
 from dahliashunt.decisions.slot_messages import Answered
@@ -13,7 +13,7 @@
 from dahliashunt.decisions.slot_messages import Use
 from dahliashunt.decisions.slot_messages import Verdict
 
-NOTHING = frozenset()
+NO_RUNS = frozenset()
 
 
 @pytest.fixture
@@ -43,7 +43,7 @@
     assert verdicts(keeper.ask(online("c"), 0)) == [Verdict.FULL]
 
 
-def test_an_online_request_takes_the_slot_of_the_laxest_item(keeper):
+def test_an_online_request_takes_the_slot_of_the_item_with_most_slack(keeper):
     # A wave of online requests meets replicas full of batch items. Without
     # the revoke the first tokens come when an item ends, five seconds
     # later; with it the slot is free within a round trip.
@@ -117,29 +117,29 @@
     # the replica's own list the slot is lost until the entry restarts.
     keeper.ask(online("a"), 0)
     keeper.report(frozenset({"a"}), 0, 100)
-    keeper.report(NOTHING, 0, UNSEEN_MS)
+    keeper.report(NO_RUNS, 0, START_GRACE_MS)
     assert keeper.state().online == 1
-    keeper.report(NOTHING, 0, UNSEEN_MS + 1)
+    keeper.report(NO_RUNS, 0, START_GRACE_MS + 1)
     assert keeper.state().online == 0
 
 
-def test_a_dead_entrys_slots_come_back(keeper):
+def test_a_dead_entrys_slots_are_freed(keeper):
     keeper.ask(online("a"), 0)
     keeper.renew(["a"], "e1", 1_000)
     running = frozenset({"a"})
-    keeper.report(running, 0, 1_000 + RENEW_WITHIN_MS)
+    keeper.report(running, 0, 1_000 + HOLD_TTL_MS)
     assert keeper.state().online == 1
-    keeper.report(NOTHING, 0, 1_001 + RENEW_WITHIN_MS)
+    keeper.report(NO_RUNS, 0, 1_001 + HOLD_TTL_MS)
     assert keeper.state().online == 0
 
 
 def test_another_entrys_renewal_keeps_nothing(keeper):
     keeper.ask(online("a"), 0)
-    keeper.renew(["a"], "e2", RENEW_WITHIN_MS)
-    keeper.report(frozenset({"a"}), 0, RENEW_WITHIN_MS + 1)
+    keeper.renew(["a"], "e2", HOLD_TTL_MS)
+    keeper.report(frozenset({"a"}), 0, HOLD_TTL_MS + 1)
     # It still runs, so that it counts, though nobody holds it.
     assert keeper.state().online == 1
-    assert verdicts(keeper.ask(batch("b"), RENEW_WITHIN_MS + 2)) == [
+    assert verdicts(keeper.ask(batch("b"), HOLD_TTL_MS + 2)) == [
         Verdict.GRANTED
     ]
 
@@ -228,7 +228,7 @@
 
 SATURATED_MS = 60_000
 HELD_MS = 80
-LAX_WORKSPACES = 3
+LOW_WORKSPACES = 3
 
 
 def saturate(keeper):
@@ -241,28 +241,32 @@
     for number, now_ms in enumerate(range(0, SATURATED_MS, gap_ms)):
         for name in [n for n, at_ms in ends.items() if at_ms <= now_ms]:
             del ends[name]
-            note(keeper.release(name, now_ms), served, ends, now_ms)
+            record(keeper.release(name, now_ms), served, ends, now_ms)
         is_urgent = number % 2 == 0
-        space = "u" if is_urgent else f"l{number // 2 % LAX_WORKSPACES}"
-        sent[space] = sent.get(space, 0) + 1
-        ask = online(f"{space} {number}", 300, "e", 300, 0 if is_urgent else 2)
-        note(keeper.ask(ask, now_ms), served, ends, now_ms)
+        workspace = "u" if is_urgent else f"l{number // 2 % LOW_WORKSPACES}"
+        sent[workspace] = sent.get(workspace, 0) + 1
+        ask = online(
+            f"{workspace} {number}", 300, "e", 300, 0 if is_urgent else 2
+        )
+        record(keeper.ask(ask, now_ms), served, ends, now_ms)
     return served, sent
 
 
-def note(effects, served, ends, now_ms):
+def record(effects, served, ends, now_ms):
     for effect in effects:
         if effect.verdict is Verdict.GRANTED:
-            space = effect.attempt_id.split()[0]
-            served[space] = served.get(space, 0) + 1
+            workspace = effect.attempt_id.split()[0]
+            served[workspace] = served.get(workspace, 0) + 1
             ends[effect.attempt_id] = now_ms + HELD_MS
 
 
 def test_under_saturation_the_less_urgent_do_not_starve():
     """Guards against a priority that shuts other workspaces out."""
     served, sent = saturate(SlotKeeper(slots=4, hold_ms=HELD_MS))
-    share = {space: served[space] / sent[space] for space in sent}
+    share = {
+        workspace: served[workspace] / sent[workspace] for workspace in sent
+    }
     mean = sum(served.values()) / sum(sent.values())
-    lax = [share[f"l{n}"] for n in range(LAX_WORKSPACES)]
-    assert share["u"] >= max(lax)
-    assert min(lax) >= mean / 4
+    low_priority = [share[f"l{n}"] for n in range(LOW_WORKSPACES)]
+    assert share["u"] >= max(low_priority)
+    assert min(low_priority) >= mean / 4
