--- a/dahliashunt/decisions/caller_wait.py
+++ b/dahliashunt/decisions/caller_wait.py
@@ -1,31 +1,28 @@
-"""How long a caller had been waiting before this attempt.
+"""Estimate of how long a caller waited before this attempt.
 
 Load pattern
 ------------
-After an outage of a second or two all callers who found nobody come back
-at once, beside those who come for the first time. For some seconds more
-come than the fleet can serve.
+After a short outage all callers that were refused retry at once, beside the
+new ones. For some seconds the demand exceeds the capacity.
 
 What goes wrong without it
 --------------------------
-First come first served gives the slots to callers whose answer is late
-whatever is done, and makes those late who could still be served in time.
-These are sent away or late in their turn, for as long as the backlog lasts
-(the domino effect of overload).
+First come, first served gives slots to callers whose answer is late anyway,
+and makes those late that could still be served in time, for as long as the
+backlog lasts (the domino effect of overload).
 
 How
 ---
-A caller says how long it will still wait. Callers of one route mostly start
-with the same time, so that one who has less left has been waiting for the
-difference, at another entry or before a closed door. The usual time is the
-longest that a fair part of the last callers gave: some callers are more
-patient than others and must not make the rest look late. Until enough have
-come it is the route's own limit.
+A caller sends how long it will still wait. Callers of one route mostly start
+with the same patience, so that one with less left has waited for the
+difference. The usual patience is the longest that at least `COMMON_SHARE` of
+the last callers had, so that a few patient callers do not make the rest look
+late. Until `MIN_CALLERS` have come it is the route's limit.
 
-What follows from it is decided elsewhere: a request that can't be in time
-any more waits behind those that can (`slot_keeper`), for longer.
+Requests that can't be in time any more wait behind those that can; see
+`slot_keeper`.
 
-Complexity: linear in the callers that are remembered, which are few.
+Complexity: linear in `WINDOW_CALLERS`.
 """
 
 from collections import Counter
@@ -34,21 +31,21 @@
 __all__ = ["CallerWaits"]
 
 WINDOW_CALLERS = 50
-"""Last callers of a route that count: some seconds of an entry's load."""
+"""Last callers of a route that are kept."""
 
 COMMON_SHARE = 0.2
-"""Part of the remembered callers that must have had as long: well over the
-few that are more patient, and under the new ones in a backlog."""
+"""Share of the kept callers that a patience needs to count as usual; above
+that of patient callers, below that of new callers in a backlog."""
 
 MIN_CALLERS = 5
-"""Callers before the usual time is taken as known."""
+"""Callers needed to estimate the usual patience."""
 
 BUCKET_MS = 50
-"""Times that differ by less are the same: what the way took is in them."""
+"""Width in milliseconds of a patience bucket; absorbs network delay."""
 
 
 class CallerWaits:
-    """Learns the usual time of each route's callers.
+    """Estimator of the usual patience of each route's callers.
 
     Examples
     --------
@@ -65,13 +62,13 @@
         self._window_by_route: dict[str, deque[int]] = {}
 
     def waited_ms(self, route: str, left_ms: int, limit_ms: int) -> int:
-        """Return how long a caller had waited when it came, in ms.
+        """Return how long a caller waited before it arrived, in ms.
 
         Parameters
         ----------
         route : str
         left_ms : int
-            How long it will wait from now on.
+            Remaining patience of the caller.
         limit_ms : int
             Longest time that the route keeps any request.
         """
--- a/dahliashunt/decisions/feed_pace.py
+++ b/dahliashunt/decisions/feed_pace.py
@@ -1,34 +1,31 @@
-"""How long a node waits before it reads a table's changes again.
+"""Pause between two reads of a table's change feed.
 
 Load pattern
 ------------
-Every entry follows tables that all entries write: jobs are accepted and
-closed, results are listed, replicas come and go. Changes come in
-proportion to the machines, and each one answers the feed of every entry.
+Every entry follows tables that all entries write: jobs, results, replicas.
+Changes grow with the number of machines, and each change answers the
+long poll of every entry.
 
 What goes wrong without it
 --------------------------
-Calls of the store grow with machines times changes: twice the machines
-make four times the calls, each of which wakes a process, until the rate
-that the store grants is used up by news that most nodes have no use for.
+Calls to the store grow with machines times changes, until they use up the
+rate that the store grants.
 
 How
 ---
-A change after a quiet time is heard at once, since the call waits for it.
-After an answer that held changes the next call is made only when the pause
-is over; what changes meanwhile comes with it in one answer. So an entry
-makes at most one call a pause, whatever the number of machines, and what
-it knows is never older than the pause and one call. Pauses differ by what
-the table's news is needed for:
+A change after a quiet time arrives at once, since the long poll waits for
+it. After an answer with changes the next call waits for a pause, and brings
+all changes since. Thus an entry makes at most one call per pause, and its
+data is never older than the pause and one call. The pause depends on the
+table:
 
-- a replica that leaves must get no new requests within seconds, and one
-  that comes is wanted in a wave: short;
-- a job that was ended must stop within seconds, and its tokens count
-  against a quota that allows an overrun of a tenth: a part of a second;
-- the listed results of a job are needed by its owner, who wrote them, and
-  by whoever takes it over seconds later. A caller's read that finds
-  nothing new here reads the store itself;
-- the configuration has a bound of its own and changes rarely: no pause.
+- a replica that leaves must get no new requests within seconds: short;
+- a job that was ended must stop within seconds, and its tokens count against
+  a quota that allows a small overrun: a part of a second;
+- results of a job are needed by its owner, who wrote them, and by a node
+  that takes it over seconds later. A caller's read that finds nothing new
+  here reads the store itself;
+- the configuration changes rarely and has its own bound: no pause.
 """
 
 import enum
@@ -37,7 +34,7 @@
 
 
 class FeedUse(enum.Enum):
-    """What a table is followed for."""
+    """Purpose for which a table is followed."""
 
     CONFIGURATION = "configuration"
     REPLICAS = "replicas"
@@ -53,9 +50,7 @@
     FeedUse.PROGRESS: 700,
     FeedUse.LOSSES: 150,
 }
-"""Milliseconds after an answer with changes. With all five tables busy an
-entry makes at most 17 calls a second, and under 5 where replicas and losses
-are quiet; each pause is a sixth or less of the second bounds above."""
+"""Pause in milliseconds after an answer with changes."""
 
 
 def pause_ms(use: FeedUse, has_changes: bool) -> int:
@@ -65,8 +60,8 @@
     ----------
     use : FeedUse
     has_changes : bool
-        Whether the last answer held changes. One without has waited for
-        them, so that the next call is made at once.
+        Whether the last answer held changes. After one without, which ended
+        a full long poll, there is no pause.
 
     Examples
     --------
--- a/dahliashunt/decisions/job_expiry.py
+++ b/dahliashunt/decisions/job_expiry.py
@@ -1,42 +1,42 @@
-"""When a node removes what is kept of an ended job.
+"""Removal of what is stored about ended jobs.
 
 Load pattern
 ------------
-11,000 jobs and 12 million results come each day; every node knows all of
-them, and nodes come and go.
+Thousands of jobs and millions of results arrive each day. Every node knows
+all of them, and nodes join and leave.
 
 What goes wrong without it
 --------------------------
-Without a removal the store, each node's memory and each restart's first
-read grow for ever. If every node removed every expired job at once, the
-same calls would be made once a node.
+The store, the memory of each node and the first read after a restart grow
+without bound. If every node removed each expired job, the calls would
+multiply with the nodes.
 
 How
 ---
-The job's last owner removes it, and any node once it is clear that the last
-owner does not. Two that both do so harm nothing.
+The last owner of a job removes it; any other node does so only after a
+further delay. Removal is idempotent, so that two nodes may both do it.
 """
 
 __all__ = ["MARGIN_MS", "ORPHANED_MS", "may_remove"]
 
 MARGIN_MS = 60_000
-"""Longer than promised: callers' clocks and the way of their calls, and
-reads that began in time."""
+"""Milliseconds beyond the promised retention; covers clock skew and reads in
+progress."""
 
 ORPHANED_MS = 60_000
-"""So long after that any node removes a job whose last owner did not: it
-was replaced meanwhile. Four looks of the owner fit in."""
+"""Further milliseconds after which any node removes the job, since its last
+owner may be gone; longer than the owner's scan interval."""
 
 
 def may_remove(age_ms: int, keep_ms: int, is_last_owner: bool) -> bool:
-    """Tell whether a node removes a job that is not open.
+    """Tell whether a node may remove an ended job.
 
     Parameters
     ----------
     age_ms : int
-        Since the job's acceptance, by the store's clock.
+        Time since the job was accepted, by the store's clock.
     keep_ms : int
-        How long results were promised to stay.
+        Promised retention of results.
     is_last_owner : bool
         Whether this node owned the job last.
 
--- a/dahliashunt/decisions/load_bucket.py
+++ b/dahliashunt/decisions/load_bucket.py
@@ -1,11 +1,19 @@
-"""Staggers loads of weights under the weight store's rate.
-
-Load pattern: a lost rack or a rollout asks for many replicas' weights at
-once. The store's rate is shared, so that n loads at a time take n times as
-long and the first replica serves as late as the last. The bucket admits a
-load when the bytes of the earlier ones could have come, and no more than
-two at a time: one endpoint alone seldom takes the store's whole rate, and
-with four the mean of ten loads was 134 s against 121 s.
+"""Token bucket that limits loads of model weights to the weight store's rate.
+
+Load pattern
+------------
+A lost rack or a rollout requests the weights of many replicas at once.
+
+What goes wrong without it
+--------------------------
+The store's rate is shared, so that n concurrent loads take n times as long,
+and the first replica is ready as late as the last.
+
+How
+---
+A load is admitted when the bytes of the earlier ones could have arrived, and
+while fewer than `PlacementPolicy.most_loads` are in progress. More than one
+at a time is useful, since a single endpoint seldom uses the whole rate.
 """
 
 from dahliashunt.decisions.replica_targets import PlacementPolicy
@@ -14,7 +22,7 @@
 
 
 class LoadBucket:
-    """Token bucket in bytes; a load may overdraw it once."""
+    """Token bucket in bytes; a load may overdraw it."""
 
     def __init__(self, policy: PlacementPolicy):
         self._policy = policy
@@ -22,7 +30,7 @@
         self._refilled_ms: int | None = None
 
     def refill(self, now: int, rate_bytes_s: float) -> None:
-        """Add what the store gives since the last call."""
+        """Add the bytes that the store can have sent since the last call."""
         usable = rate_bytes_s * self._policy.weight_rate_share
         burst = usable * self._policy.load_burst_s
         if self._refilled_ms is None:
@@ -35,8 +43,8 @@
     def admit(self, size: int, in_progress: int) -> bool:
         """Return whether a load of `size` may start, and charge it.
 
-        The bucket may go below zero by one load: one model can be larger
-        than any burst, and would never load otherwise.
+        The bucket may go below zero by one load, since a model can be larger
+        than the burst.
         """
         if in_progress >= self._policy.most_loads or self._bytes <= 0:
             return False
--- a/dahliashunt/decisions/partners.py
+++ b/dahliashunt/decisions/partners.py
@@ -1,25 +1,23 @@
-"""Which replicas of a service an entry asks first.
+"""Sampling of replicas beyond an entry's partners.
 
 Load pattern
 ------------
-Hundreds of entries before thousands of replicas, each entry with a score
-of requests a second.
+Hundreds of entries in front of thousands of replicas, each entry with some
+tens of requests a second.
 
 What goes wrong without it
 --------------------------
-An entry that renews and hears of every replica costs messages with the
-product of the two numbers, and each request orders every replica. With
-173 entries before 127 agents that is 22,000 renewals a second, and up to
-ten times as many load messages (docs/CAPACITY.md).
+If every entry exchanges messages with every replica, the messages grow with
+the product of the two numbers, and each request sorts every replica (see
+docs/CAPACITY.md).
 
 How
 ---
-Each entry keeps to a few replicas, its partners, as `choose_links` draws
-them from the two ids: the sets differ between entries, so that the load
-spreads, and a replica that comes or goes moves nothing but its own place.
-Where all partners are full a few others, drawn anew for each request, are
-asked as well, which also reaches replicas that are nobody's partner, so
-that a wave finds slots as by asking at random everywhere
+Each entry keeps links to a small subset of the replicas, its partners, which
+`choose_links` derives from the ids: the subsets differ between entries, and
+a replica that joins or leaves changes only its own place. When all partners
+asked are full, a few other replicas are sampled per request, which also
+reaches replicas that are no entry's partner
 (`test_a_wave_is_served_as_well_as_by_asking_at_random`).
 
 References
@@ -33,17 +31,16 @@
 __all__ = ["MOST_PARTNERS", "OUTSIDERS", "draw_outsiders"]
 
 MOST_PARTNERS = 24
-"""Partners of an entry in one service. At 20 requests a second that hold a
-slot for 0.7 s, an entry uses 14 slots; 24 replicas of 7 have 168."""
+"""Partners of an entry in one service."""
 
 OUTSIDERS = 2
-"""Others asked when every partner asked was full."""
+"""Replicas sampled beyond the partners when every partner asked is full."""
 
 
 def draw_outsiders(
     replicas: list, partners, rng: random.Random, count: int = OUTSIDERS
 ) -> list:
-    """Return up to `count` of `replicas` that are not in `partners`.
+    """Return up to `count` random `replicas` that are not in `partners`.
 
     Parameters
     ----------
@@ -55,8 +52,8 @@
 
     Notes
     -----
-    Draws more than needed and drops partners, so that the cost does not
-    grow with the list.
+    Oversamples and then drops partners, so that the cost does not grow with
+    the list; fewer than `count` may remain.
     """
     drawn = rng.sample(replicas, min(len(replicas), 3 * count))
     others = [each for each in drawn if each.replica_id not in partners]
--- a/dahliashunt/decisions/refusals.py
+++ b/dahliashunt/decisions/refusals.py
@@ -1,4 +1,4 @@
-"""What a caller reads with each kind of refusal."""
+"""Messages sent to callers, by kind of refusal."""
 
 from dahliashunt.errors import ErrorKind
 
--- a/dahliashunt/decisions/replica_choice.py
+++ b/dahliashunt/decisions/replica_choice.py
@@ -1,38 +1,29 @@
-"""In which order an entry asks the replicas of a service.
+"""Order in which an entry asks the replicas of a service.
 
 Load pattern
 ------------
-Several entries, each with a few requests a second, share a few replicas.
-What an entry knows of a replica is as old as the last message about it;
-its own requests since then are known exactly.
+Several entries, each with a few requests a second, share a few replicas. An
+entry's load information is as old as the replica's last message; only its
+own requests since then are known exactly.
 
 What goes wrong without it
 --------------------------
-Ordering by the last known load alone sends a whole wave to the replica
-that last looked idle; ordering at random fills one replica while another
-idles; ignoring prompts makes each replica read every shared part again.
-Where online requests and batch items share a fleet, counting only online
-requests sends one to a replica whose other slots all run items: an item is
-revoked there while a slot stands idle next door, and batch items ask
-replicas that other items have filled. A replica whose agent is gone looks
-idle, since nobody says that it is not, and each request waits there first.
+Ordering by the last known load alone sends a whole burst to one replica, and
+random order ignores load and prompt caches. Counting only online requests
+revokes batch items while slots elsewhere are idle. A replica whose agent is
+down looks idle, and each request waits for it first.
 
 How
 ---
-Suspected and absent replicas go last, before them those whose agent does
-not answer, and before these the ones that were just started and are still
-slow: what they are given is late while a warm one has room, and their slots
-are wanted only when no other is left. Among the rest
-the one that most probably keeps the request's shared prompt parts is first,
-chosen by rendezvous over the deepest shared part, as long as it has some
-room and no item must be revoked there that need not be elsewhere; the
-others follow, those with an idle slot ahead, by slots that online requests
-leave free. Among those alike in load the one to which a connection stands
-goes first: an entry of a large fleet has a few requests a second, so that
-spread over all its partners each would find its connection closed as idle.
-What is still equal is drawn at random.
-
-Complexity: one hash and one comparison key a replica.
+Replicas are sorted by availability (not suspected, not full, agent answers,
+warm), then idle slots, load in steps of `SIMILAR_LOAD_SLOTS`, an open
+connection, exact load and data centre; ties are broken at random. Preferring
+open connections keeps them from being closed as idle. The replica that most
+probably caches the request's shared prompt parts, chosen by rendezvous
+hashing of the deepest part, goes first if it has room and does not cost a
+revoked batch item that another replica would not.
+
+Complexity: O(n log n) to sort n replicas, and one hash per replica.
 """
 
 from dataclasses import dataclass
@@ -42,43 +33,42 @@
 __all__ = ["Candidate", "order_replicas"]
 
 MIN_FREE_FOR_AFFINITY = 2
-"""Free slots that the replica with the prompt's parts must have to go
-first. Reading 200 shared tokens again takes some 3 ms; a busy replica
-costs a revoked batch item or a wait."""
+"""Free slots that the replica preferred for its prompt cache needs to go
+first."""
 
 SIMILAR_LOAD_SLOTS = 2
-"""Replicas whose free slots differ by less are alike in load: what is known
-of a busy one is a request old. Among them a standing connection decides."""
+"""Step in free slots below which loads count as similar, since load
+information lags; among similar replicas an open connection decides."""
 
 MAX_LOAD_AGE_MS = 2_000
-"""Older knowledge of a replica's load is taken as unknown."""
+"""Age in milliseconds above which a replica's load counts as unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """One replica as an entry sees it.
+    """State of one replica as known to an entry.
 
     Attributes
     ----------
     replica_id : str
     slots : int
     taken : int
-        Slots taken as last heard, and this entry's own requests since.
+        Slots taken as last reported, or this entry's own requests if more.
     age_ms : int
-        Of that knowledge.
+        Age of the last report.
     avoided : bool
-        Suspected, or said to be absent by its agent.
+        Whether it is suspected, or reported as unavailable by its agent.
     near : bool
-        Stands in this entry's data centre.
+        Whether it is in this entry's data centre.
     cold : bool
-        Still slow after its start.
+        Whether it is still slow after its start.
     batch : int
-        Slots besides those taken that batch items hold: an online request
-        gets one by revoking its item, another item does not get it.
+        Slots, besides those taken, that batch items hold. An online request
+        gets one by revoking the item; another batch item can't.
     unheard : bool
-        Its agent does not answer, so that nobody counts its slots.
+        Whether its agent does not answer, so that its load is unknown.
     connected : bool
-        An idle connection to it stands.
+        Whether an idle connection to it is open.
     """
 
     replica_id: str
@@ -102,9 +92,9 @@
     ----------
     candidates : list of Candidate
     affinity : str
-        Names the deepest shared part of the prompt; empty for none.
+        Key of the deepest shared part of the prompt; empty for none.
     rng : random.Random
-        Draws between equals.
+        Breaks ties.
 
     Examples
     --------
@@ -146,8 +136,7 @@
 
 
 def _free_slots(one):
-    # Unknown load counts as half full: better than a replica that is known
-    # to be full, worse than one that is known to have room.
+    # A replica of unknown load counts as half full.
     if one.age_ms > MAX_LOAD_AGE_MS:
         return max(0, one.slots // 2 - one.taken)
     return max(0, one.slots - one.taken)
--- a/dahliashunt/decisions/replica_targets.py
+++ b/dahliashunt/decisions/replica_targets.py
@@ -1,11 +1,16 @@
-"""How many replicas of a model there should be.
+"""Target number of replicas of a model.
 
-Load pattern: a wave of hours must shift replicas, a burst of minutes must
-not: loading takes minutes, and what was unloaded for it is missed after.
+Load pattern
+------------
+Demand shifts over hours, which must change the number of replicas, and
+bursts for minutes, which must not: loading takes minutes, and the model
+unloaded for it is missed afterwards.
 
-Demand is the median of the last half hour's minutes. A burst shorter than
-half of that leaves it where it was, however high it is; an exponential
-average moves in proportion, so that a high enough burst passes any mark.
+How
+---
+Demand is a running median over the last half hour. A burst shorter than half
+of that window does not change it, however high it is, unlike an exponential
+average.
 
 References
 ----------
@@ -30,20 +35,20 @@
     Attributes
     ----------
     sample_ms, samples : int
-        The median is over so many samples of so long. A burst must last
-        for half of them, 15 minutes, to be taken for a wave.
+        Length of a sample and number of samples of the running median.
+        Demand must last for half of the window to change the target.
     up_load, down_load : float
-        A replica is added when the load of each is above the first,
-        removed when that of one fewer would be below the second; they are
-        apart by more than one replica of a few changes the load.
+        A replica is added when the load per replica exceeds `up_load`, and
+        removed when with one fewer it would be below `down_load`. The gap
+        prevents oscillation.
     dwell_ms : int
-        Least time between two changes of one model's count.
+        Least time between two changes of one model's target.
     most_loads : int
-        Loads in progress at a time; see `dahliashunt.decisions.load_bucket`.
+        Most concurrent loads; see `dahliashunt.decisions.load_bucket`.
     weight_rate_share : float
-        Part of the weight store's rate that loads may take.
+        Share of the weight store's rate that loads may use.
     load_burst_s : float
-        Seconds of that rate that may be asked for at once.
+        Size of the token bucket, in seconds of that rate.
     """
 
     sample_ms: int = 60_000
@@ -58,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelDemand:
-    """What records and load want of one model.
+    """Demand for one model, from its configuration and its load.
 
     Attributes
     ----------
@@ -67,9 +72,9 @@
     floor, ceiling : int
         Bounds of the count of replicas.
     demand_replicas : float
-        Present load in replicas' worth of work.
+        Present load, in units of one replica's capacity.
     fixed : frozenset of EndpointId
-        Where it must run; empty for anywhere.
+        Endpoints on which it must run; empty for no constraint.
     """
 
     model: LoadedModel
@@ -89,17 +94,23 @@
 
 
 class ReplicaTargets:
-    """Recent demand and the last change, by model."""
+    """Target number of replicas by model, from recent demand."""
 
     def __init__(self, policy: PlacementPolicy):
         self._policy = policy
         self._by_model: dict[str, _State] = {}
 
     def target(self, now: int, demand: ModelDemand, have: int) -> int:
-        """Return how many replicas there should be now.
-
-        A new lease holder takes what is there for right until it has seen
-        half a window of demand.
+        """Return the target number of replicas.
+
+        Parameters
+        ----------
+        now : int
+            Current time in milliseconds.
+        demand : ModelDemand
+        have : int
+            Present number of replicas. A new lease holder keeps it until it
+            has sampled half a window.
         """
         policy = self._policy
         floor = max(demand.floor, len(demand.fixed))
--- a/dahliashunt/decisions/return_time.py
+++ b/dahliashunt/decisions/return_time.py
@@ -1,36 +1,31 @@
-"""When a caller that found no service is told to come back.
+"""Retry delay of callers that are refused for lack of a slot.
 
 Load pattern
 ------------
-For a second or two more online requests come than the fleet has slots for:
-a wave while replicas are away, or everybody at once after an outage. A
-caller comes back once or twice, not more.
+For a second or two more online requests arrive than the fleet has slots:
+a burst while replicas are down, or all callers at once after an outage.
+Callers retry once or twice.
 
 What goes wrong without it
 --------------------------
-The time until the next slot is free, some tens of milliseconds in a fleet,
-is the wrong answer: thousands of others wait for that slot. Callers return
-to the same full fleet together, are refused again and give up, while a
-second later slots stand idle. A node that was started while the store is
-away, with all others, refuses everybody; told to come back in a moment they
-are refused twice before it is over.
+Told to retry when the next slot is free, all refused callers return together
+to the same full fleet and give up, while slots are idle a second later. The
+same holds for a node that starts while the store is unreachable.
 
 How
 ---
-A full fleet has turned over once a request has held its slot, so that a
-caller returns after one to two of these times, drawn evenly, which spreads
-those who were refused together. How long slots are held is learned from
-this entry's own requests.
+A full fleet has turned over after one hold time, so that callers retry after
+one to two hold times, with jitter. Hold times are learned from this entry's
+own requests.
 
-Of an outage nothing is known but how long it has lasted; it is taken to
-last as long again. A short one, which other nodes may not share, so sends
-callers elsewhere at once, and a long one tells them to wait.
+An outage is assumed to last as long again as it has lasted. A short one thus
+sends callers to other nodes at once, and a long one makes them wait.
 
 References
 ----------
 Metcalfe and Boggs, "Ethernet: distributed packet switching for local
-computer networks", Communications of the ACM 19(7), 1976, on drawing the
-time of a retry from a range that fits the load.
+computer networks", Communications of the ACM 19(7), 1976, on randomized
+retransmission delays that adapt to the load.
 """
 
 import random
@@ -38,31 +33,27 @@
 __all__ = ["HoldTimes", "return_after_ms", "return_after_outage_ms"]
 
 INITIAL_HOLD_MS = 700
-"""Time a slot is held before any was seen to end; about 250 output tokens
-at 2.8 ms a token."""
+"""Initial estimate of the time a request holds a slot, in ms."""
 
 HOLD_EWMA_WEIGHT = 0.1
-"""Weight of a new hold in the mean: the last ten or so count."""
+"""Weight of a new hold time in the moving average."""
 
 MIN_HOLD_MS = 100
-"""Requests that end sooner were cut or were short answers: a caller that
-comes back as soon meets the same wave."""
+"""Lower bound of the estimate; shorter holds are aborted or short answers."""
 
 TURNS = (1.0, 2.1)
-"""How many holds later callers return, at the least and at the most. With
-holds of 0.7 s the latest is a third of five seconds, beyond which callers
-do not wait."""
+"""Bounds of the retry delay, in hold times; the upper one stays within what
+callers wait."""
 
 OUTAGE_MS = (300, 1_600)
-"""Bounds of Retry-After in an outage: another node takes an early retry,
-and a third of five seconds is the longest that callers wait."""
+"""Bounds of the retry delay in an outage, in milliseconds."""
 
 OUTAGE_JITTER = (0.7, 1.3)
-"""Callers of one moment come back over so much of the time."""
+"""Bounds of the random factor on the retry delay in an outage."""
 
 
 class HoldTimes:
-    """How long online requests hold a slot of each service.
+    """Moving average, by service, of the time a request holds a slot.
 
     Examples
     --------
@@ -79,26 +70,26 @@
         self._mean_ms_by_service: dict[str, float] = {}
 
     def ended(self, service: str, held_ms: int) -> None:
-        """Note that a request gave back its slot after `held_ms`."""
+        """Record a request that released its slot after `held_ms`."""
         mean_ms = self._mean_ms_by_service.get(service, INITIAL_HOLD_MS)
         mean_ms += HOLD_EWMA_WEIGHT * (held_ms - mean_ms)
         self._mean_ms_by_service[service] = mean_ms
 
     def mean_ms(self, service: str) -> int:
-        """Return the learned time, in milliseconds."""
+        """Return the mean hold time, in milliseconds."""
         mean_ms = self._mean_ms_by_service.get(service, INITIAL_HOLD_MS)
         return max(MIN_HOLD_MS, round(mean_ms))
 
 
 def return_after_ms(hold_ms: int, wait_ms: int, rng: random.Random) -> int:
-    """Return the time after which a refused caller should come back.
+    """Return the retry delay of a refused caller, in milliseconds.
 
     Parameters
     ----------
     hold_ms : int
-        How long a request holds its slot.
+        Mean time a request holds its slot.
     wait_ms : int
-        Shortest expected wait for a slot, as last heard.
+        Shortest expected wait for a slot, as last reported.
     rng : random.Random
 
     Examples
@@ -111,12 +102,12 @@
 
 
 def return_after_outage_ms(lasted_ms: int, rng: random.Random) -> int:
-    """Return the time after which to come back in an outage, in ms.
+    """Return the retry delay in an outage, in milliseconds.
 
     Parameters
     ----------
     lasted_ms : int
-        How long it has lasted, as far as this node knows.
+        Duration of the outage so far, as known to this node.
     rng : random.Random
 
     Examples
--- a/dahliashunt/decisions/slot_holds.py
+++ b/dahliashunt/decisions/slot_holds.py
@@ -1,11 +1,11 @@
-"""Who holds a replica's slots, compared with what the replica runs.
+"""Grants of a replica's slots, reconciled with the requests that it runs.
 
-A hold whose asker went silent, or whose run the replica has not listed for
-a while, is dropped, so that lost datagrams and dead entries do not keep
-slots. Runs that no hold accounts for count as taken: this keeper has
-started after them, or an entry sent without asking.
+A hold is dropped when it is no longer renewed or when the replica no longer
+lists its run, so that a lost datagram or a dead entry does not leak a slot.
+Runs without a hold count as taken: they were granted before the agent
+restarted, or sent without a grant.
 
-Complexity: each step is linear in the slots, which are few.
+Complexity: each step is linear in the slots.
 """
 
 from dataclasses import dataclass
@@ -19,28 +19,27 @@
 __all__ = ["HOLD_TTL_MS", "START_GRACE_MS", "Hold", "SlotHolds"]
 
 HOLD_TTL_MS = 3_500
-"""A hold that was not renewed for so long is dropped: askers renew every
-second, so three renewals in a row were lost or the asker is gone."""
+"""Milliseconds after which a hold that is not renewed expires; entries renew
+every second, so that three renewals may be lost."""
 
 START_GRACE_MS = 800
-"""A hold this old that the replica neither runs nor queues is dropped; a
-granted request reaches its replica within some milliseconds."""
+"""Milliseconds from a grant until the replica must list the run."""
 
 REVOKE_GRACE_MS = 300
-"""For so long after it was told to stop a run is not counted: closing the
-connection reaches the replica in a round trip."""
+"""Milliseconds for which a revoked run that is still listed is not counted;
+covers the round trip that closes its connection."""
 
 
 @dataclass(slots=True)
 class Hold:
-    """A slot that was granted.
+    """Grant of one slot.
 
     Attributes
     ----------
     ask : Ask
     since_ms, renewed_ms : int
     due_ms : int
-        When its batch item is due; the latest yields first.
+        Time of the grant plus the slack; the latest is revoked first.
     """
 
     ask: Ask
@@ -51,14 +50,14 @@
 
 @dataclass(slots=True)
 class SlotHolds:
-    """The holds of one replica.
+    """Holds of one replica.
 
     Attributes
     ----------
     by_id : dict
         Holds by attempt.
     foreign : int
-        Requests at the replica that no hold accounts for.
+        Requests at the replica without a hold.
     """
 
     by_id: dict[AttemptId, Hold] = field(default_factory=dict)
@@ -67,23 +66,23 @@
 
     @property
     def used(self) -> int:
-        """Slots that are taken, by holds or others."""
+        """Slots taken, with or without a hold."""
         return len(self.by_id) + self.unmatched
 
     def count(self, use: Use) -> int:
-        """Return the holds for `use`."""
+        """Return the number of holds for `use`."""
         return sum(hold.ask.use is use for hold in self.by_id.values())
 
     def grant(self, ask: Ask, now_ms: int) -> None:
-        """Note that `ask` holds a slot."""
+        """Record a hold for `ask`."""
         due_ms = now_ms + ask.slack_ms
         self.by_id[ask.attempt_id] = Hold(ask, now_ms, now_ms, due_ms)
 
     def renew(self, attempt_ids, asker, now_ms: int) -> None:
-        """Note that `asker` still runs `attempt_ids`.
+        """Renew the holds of `attempt_ids` that belong to `asker`.
 
-        An attempt unknown here (this keeper started after its grant) is
-        counted through the replica's own report instead.
+        Attempts without a hold, granted before the agent restarted, are
+        counted from the replica's report instead.
         """
         for attempt_id in attempt_ids:
             hold = self.by_id.get(attempt_id)
@@ -103,11 +102,12 @@
         return ask
 
     def reconcile(self, running: frozenset, waiting: int, now_ms: int) -> None:
-        """Take over what the replica says that it runs.
+        """Drop stale holds and count the runs without a hold.
 
         Parameters
         ----------
         running : frozenset of RequestId
+            Requests that the replica lists as running.
         waiting : int
             Requests in the replica's own queue.
         now_ms : int
--- a/dahliashunt/decisions/slot_keeper.py
+++ b/dahliashunt/decisions/slot_keeper.py
@@ -1,40 +1,37 @@
-"""Who gets one replica's slots: online first, batch in what is idle.
+"""Allocation of one replica's slots to online requests and batch items.
 
 Load pattern
 ------------
-Online demand swings between a third and twice its mean every few seconds
-while batch items, which hold a slot for five seconds each, fill whatever
-is idle. Many entries, each with a small part of the traffic, share each
-replica, and the replica admits strictly in order of arrival.
+Online demand varies several-fold within seconds, while batch items fill the
+idle slots and hold each for seconds. Many entries share each replica, and
+the replica admits strictly in order of arrival.
 
 What goes wrong without it
 --------------------------
-Entries that count only their own requests meet at one replica while
-another idles; the wave queues behind batch items inside the replica,
-where nothing can overtake them, and first tokens come up to a whole
-request's run too late. One place that counts, beside the replica, sees
-each claim within a network round trip.
+Entries that count only their own requests overload one replica while another
+idles. Online requests then queue behind batch items inside the replica,
+where they can't be reordered. One allocator beside the replica sees all
+demand within a network round trip.
 
 Rules
 -----
-- An online request takes a free slot; if there is none it takes that of
-  the batch item with the most slack, which is told to stop. The item goes
-  on elsewhere from its last event.
-- Batch takes only slots that online requests did not need within the
-  last moment: in a wave a slot stands free for some 20 ms between two
-  online requests, and an item that takes it is revoked before it has read
-  its prompt again, so that none of them goes on.
-- With only online requests inside, a further one waits here, never in the
-  replica, and only if a slot is expected within the time it can wait;
-  else it is told so at once.
-- Requests that can be in time get a free slot before those that are late
-  in any case, so that a backlog after an outage does not make everybody
-  late (`caller_wait`). Late ones may wait for longer.
-- Among these the more urgent go first (`Ask.rank`), but each fourth slot
-  goes to the less urgent one that came first: they don't starve.
-- Holds are compared with the replica's own list (`slot_holds`).
-
-Complexity: each step is linear in the slots, which are few.
+- An online request takes a free slot, or else the slot of the batch item
+  with the most slack. That item is revoked and resumes elsewhere from its
+  last event.
+- Batch gets only slots that online requests did not use in the last
+  `RECENT_MS`: an item in a shorter gap would be revoked before it has read
+  its prompt.
+- If online requests hold all slots, a further one is queued here, never in
+  the replica, and only if a slot is expected within its wait; otherwise it
+  is refused at once.
+- Requests that can meet their deadline go before those that can't, so that
+  a backlog after an outage does not delay all others (`caller_wait`).
+- Among these the lower `Ask.rank` goes first, except that each
+  `LOW_PRIORITY_INTERVAL`-th slot goes to a less urgent request, which
+  prevents starvation.
+- Holds are reconciled with the replica's own list (`slot_holds`).
+
+Complexity: each step is linear in the slots and the queued requests.
 """
 
 from dataclasses import dataclass
@@ -52,22 +49,17 @@
 __all__ = ["RECENT_MS", "SlotKeeper"]
 
 INITIAL_HOLD_MS = 700
-"""Time a slot is held by an online request before any was seen to end;
-about 250 output tokens at 2.8 ms a token."""
+"""Initial estimate of the time an online request holds a slot, in ms."""
 
 HOLD_EWMA_WEIGHT = 0.1
-"""Weight of a new hold in the mean: the last ten or so count."""
+"""Weight of a new hold time in the moving average."""
 
 RECENT_MS = 100
-"""How long a slot that an online request has left is kept from batch: as
-long as the next request of a wave takes to come to a replica, which hears
-9 a second in a wave, and three times what an item needs to go on elsewhere.
-Longer makes items late, without it twice as many are revoked."""
-
+"""Milliseconds for which a slot that an online request released is kept from
+batch; about the time between two requests of a burst."""
 
 LOW_PRIORITY_INTERVAL = 4
-"""Each so many-th slot that becomes free goes to a less urgent request, if
-one waits: then these get a quarter of the slots at the least."""
+"""One in this many grants goes to a less urgent request, if one waits."""
 
 
 @dataclass(slots=True)
@@ -82,12 +74,16 @@
 
 @dataclass(slots=True)
 class SlotKeeper:
-    """Decides over the slots of one replica.
+    """Allocator of one replica's slots.
 
     Parameters
     ----------
     slots : int
-        What the replica runs at once.
+        Requests that the replica runs concurrently.
+    away : bool
+        Whether the replica is unavailable; nothing is granted then.
+    hold_ms : float
+        Moving average of the time an online request holds a slot.
     """
 
     slots: int
@@ -104,7 +100,7 @@
         return tuple(self._holds.by_id)
 
     def ask(self, ask: Ask, now_ms: int) -> list:
-        """Decide on `ask`; a repeat gets the verdict that stands."""
+        """Decide on `ask`; idempotent for a repeated attempt."""
         held = self._holds.by_id.get(ask.attempt_id)
         if held is not None:
             held.renewed_ms = now_ms
@@ -126,7 +122,7 @@
         return [self._grant(ask, now_ms)]
 
     def _peak_online(self, now_ms):
-        """Return the most slots that online requests held just now."""
+        """Return the peak of online holds over the last `RECENT_MS`."""
         self._recent_online = [
             each for each in self._recent_online if each[0] > now_ms
         ]
@@ -149,7 +145,7 @@
         return [_answer(ask, Verdict.QUEUED)]
 
     def _expected_delay_ms(self, ask, now_ms):
-        """Return how long `ask` would wait behind those that go before."""
+        """Return the expected queueing delay of `ask`, in ms."""
         ahead = [
             each.ask.rank
             for each in self._waiting_by_id.values()
@@ -170,7 +166,7 @@
         return int((ahead + 1) * self.hold_ms / max(1, self.slots))
 
     def release(self, attempt_id: AttemptId, now_ms: int) -> list:
-        """Free what `attempt_id` holds, or take it out of the queue."""
+        """Free the slot of `attempt_id`, or take it out of the queue."""
         self._waiting_by_id.pop(attempt_id, None)
         held = self._holds.by_id.pop(attempt_id, None)
         if held is None:
@@ -183,16 +179,16 @@
         return self._grant_waiting(now_ms)
 
     def renew(self, attempt_ids, asker, now_ms: int) -> None:
-        """Note that `asker` still runs `attempt_ids`."""
+        """Renew the holds of `attempt_ids` that belong to `asker`."""
         self._holds.renew(attempt_ids, asker, now_ms)
 
     def report(self, running: frozenset, waiting: int, now_ms: int) -> list:
-        """Compare with what the replica says that it runs and queues."""
+        """Reconcile the holds with what the replica runs and queues."""
         self._holds.reconcile(running, waiting, now_ms)
         return self._grant_waiting(now_ms)
 
     def expected_wait_ms(self) -> int:
-        """Return how long one more online request would wait."""
+        """Return the expected wait of one more online request, in ms."""
         if not self._waiting_by_id and (
             self._holds.used < self.slots or self._holds.count(Use.BATCH)
         ):
@@ -200,7 +196,7 @@
         return self._queue_delay_ms(len(self._waiting_by_id))
 
     def state(self) -> KeeperState:
-        """Return what entries are told."""
+        """Return the state that is sent to entries."""
         return KeeperState(
             slots=self.slots,
             online=self._holds.count(Use.ONLINE) + self._holds.unmatched,
@@ -211,7 +207,7 @@
         )
 
     def _revoke(self, now_ms):
-        """Take a slot back from batch; None if it holds none."""
+        """Revoke a batch hold; return None if there is none."""
         ask = self._holds.revoke_batch(now_ms)
         return ask and Revoked(ask.attempt_id, ask.asker)
 
@@ -231,7 +227,7 @@
         return answers
 
     def _next_attempt_id(self, now_ms):
-        """Return whose turn it is; of equals the first that came."""
+        """Return the attempt to grant next; first come among equals."""
         self._grants += 1
         top_rank = min(each.ask.rank for each in self._waiting_by_id.values())
         is_low_priority_turn = self._grants % LOW_PRIORITY_INTERVAL == 0
--- a/dahliashunt/decisions/slot_messages.py
+++ b/dahliashunt/decisions/slot_messages.py
@@ -1,4 +1,4 @@
-"""What entries and the keeper of a replica's slots tell each other."""
+"""Messages between entries and the agent that grants a replica's slots."""
 
 from dataclasses import dataclass
 import enum
@@ -10,14 +10,14 @@
 
 
 class Use(enum.Enum):
-    """What a slot is for."""
+    """Kind of work that a slot is requested for."""
 
     ONLINE = "online"
     BATCH = "batch"
 
 
 class Verdict(enum.Enum):
-    """Answer to an ask."""
+    """Answer to a request for a slot."""
 
     GRANTED = "granted"
     QUEUED = "queued"
@@ -27,23 +27,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """An entry wants a slot.
+    """Request of an entry for a slot.
 
     Attributes
     ----------
     attempt_id : AttemptId
     run_id : RequestId
-        How the replica lists the request.
+        Id under which the replica lists the request.
     asker : object
-        Where answers go; compared only.
+        Address for the answers; only compared.
     use : Use
     wait_ms : int
-        How long an online request would wait here.
+        Longest time an online request waits in the queue.
     slack_ms : int
-        Of a batch item: time until it is due. Of an online request: how
-        long it may wait and still be in time, 0 if it can't be.
+        For a batch item, the time until it is due. For an online request,
+        the longest wait that meets its deadline; 0 if none does.
     rank : int
-        Of an online request; 0 is the most urgent.
+        Priority of an online request; 0 is the most urgent.
     """
 
     attempt_id: AttemptId
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """Tell `asker` the verdict on its attempt."""
+    """Verdict on an attempt, to be sent to `asker`."""
 
     attempt_id: AttemptId
     asker: object
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Revoked:
-    """Tell `asker` to stop its attempt and make room."""
+    """Order to `asker` to stop its attempt and free the slot."""
 
     attempt_id: AttemptId
     asker: object
@@ -74,14 +74,17 @@
 
 @dataclass(frozen=True, slots=True)
 class KeeperState:
-    """What entries are told of one replica.
+    """State of one replica's slots, as sent to entries.
 
     Attributes
     ----------
     slots, online, batch, waiting : int
+        Slots in all, slots held by online requests and by batch items, and
+        queued online requests.
     wait_ms : int
         Expected wait of one more online request.
     away : bool
+        Whether the replica is unavailable.
     """
 
     slots: int
--- a/dahliashunt/decisions/suspicion.py
+++ b/dahliashunt/decisions/suspicion.py
@@ -1,20 +1,20 @@
-"""Which replicas to avoid, from what became of requests sent there.
+"""Passive health checks of replicas, from the outcomes of requests.
 
 Load pattern
 ------------
-A replica goes dark, resets or fails a part of its requests while its own
-health answers, and the list of replicas, still call it good for seconds.
+A replica hangs, resets connections or fails a part of its requests, while
+its health check and the list of replicas still report it as healthy.
 
 What goes wrong without it
 --------------------------
-Routing by free slots favours exactly the broken replica: it fails fast,
-so it always looks idle, and draws the whole traffic.
+Routing by free slots favours the broken replica: it fails fast, always looks
+idle, and attracts all traffic.
 
 How
 ---
 Each failure doubles the time for which the replica is asked last, up to a
-bound; then requests return to it as probes, one at a time, and one that is
-served clears it. All suspects are still used when nothing else is left.
+bound. Then single requests probe it, and one that is served clears it.
+Suspected replicas are still used when no other is left.
 """
 
 from dataclasses import dataclass
@@ -22,16 +22,14 @@
 __all__ = ["Suspicion"]
 
 INITIAL_AVOID_MS = 400
-"""Avoided after one failure: a restart or a lost connection is over by
-then, and a served request meanwhile clears it."""
+"""Milliseconds of avoidance after one failure; covers a lost connection."""
 
 MAX_AVOID_MS = 3_000
-"""Longest time without a probe: replicas are back after some seconds."""
+"""Longest avoidance without a probe, in milliseconds."""
 
 SUCCESS_DECAY = 0.5
-"""Share of the failure score that one served request takes away; a replica
-that fails a third of its requests stays suspected, since two served
-requests do not outweigh one failure."""
+"""Factor on the failure score per served request; a replica that fails a
+third of its requests stays suspected."""
 
 
 @dataclass(slots=True)
@@ -59,14 +57,14 @@
         self._record_by_id: dict[object, _Record] = {}
 
     def failed(self, replica_id, now_ms: int) -> None:
-        """Note a request that the replica lost or failed."""
+        """Record a request that the replica lost or failed."""
         record = self._record_by_id.setdefault(replica_id, _Record())
         record.score += 1
         avoid_ms = INITIAL_AVOID_MS * 2 ** (record.score - 1)
         record.avoid_until_ms = now_ms + int(min(avoid_ms, MAX_AVOID_MS))
 
     def served(self, replica_id) -> None:
-        """Note a request that the replica served."""
+        """Record a request that the replica served."""
         record = self._record_by_id.get(replica_id)
         if record is None:
             return
@@ -77,16 +75,16 @@
             del self._record_by_id[replica_id]
 
     def is_avoided(self, replica_id, now_ms: int) -> bool:
-        """Tell whether others should be asked first."""
+        """Tell whether other replicas should be asked first."""
         record = self._record_by_id.get(replica_id)
         if record is None or record.score < SUCCESS_DECAY:
             return False
         return now_ms < max(record.avoid_until_ms, record.probing_until_ms)
 
     def probe(self, replica_id, now_ms: int) -> None:
-        """Note that a request goes to a replica that was suspected.
+        """Record that a request probes a suspected replica.
 
-        Until it is served or fails no other is sent there first.
+        Until it ends, or for `INITIAL_AVOID_MS`, the replica is avoided.
         """
         record = self._record_by_id.get(replica_id)
         if record is not None:
