--- a/dahliashunt/decisions/tests/shared_fleet.py
+++ b/dahliashunt/decisions/tests/shared_fleet.py
@@ -1,9 +1,9 @@
-"""A fleet that waves of online requests and batch items share, played.
+"""Simulation of a fleet shared by online requests and batch items.
 
-The keepers, the order of replicas and the order of items are the real
-ones; runs, waves, losses of replicas and the owners' pace of asking are
-drawn from a seed on a virtual clock. Online requests and jobs are drawn
-apart, so that two policies meet the same ones.
+Slot allocation, replica order and item order are the production code. Run
+times, bursts, losses of replicas and retries are drawn from a seed, on a
+virtual clock. Online requests and jobs use separate random streams, so that
+two policies meet the same load.
 """
 
 from dataclasses import dataclass
@@ -33,16 +33,16 @@
 ITEM_SPREAD = 0.25
 DUE_MS = 18_000
 RESTART_MS = 30
-"""An item's time from its grant to its first new event."""
+"""Time from an item's grant to its first new event."""
 
 WAIT_MS = 260
-"""What an online request may wait: its objective less a start."""
+"""Longest wait of an online request that meets its deadline."""
 
 LATE_WAIT_MS = 1_200
-"""What a request that is late may wait."""
+"""Longest wait of a request that has missed its deadline."""
 
 RETURN_DELAY_MS = (0, 600)
-"""After an outage callers come back within so long."""
+"""Bounds of the delay after an outage until a caller returns."""
 
 ROUND_TRIP_MS = 2
 MAX_ASKED = 6
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What comes, and when replicas are away."""
+    """Load of one run: arrivals, and when replicas are down."""
 
     replicas: int = 9
     slots: int = 8
@@ -60,24 +60,24 @@
     jobs_per_s: float = 0.514
     length_ms: int = 34_000
     burst: tuple[int, int, float] = (0, 0, 1.0)
-    """From, until, and how many times the jobs."""
+    """Start, end, and factor on the rate of jobs."""
 
     loss: tuple[int, int, int] = (0, 0, 0)
-    """From, until, and how many replicas are away."""
+    """Start, end, and number of replicas that are down."""
 
     outage: tuple[int, int] = (0, 0)
-    """From and until when callers find no entry at all."""
+    """Start and end of the time in which no entry is reachable."""
 
 
 class EarliestDue(ItemOrder):
-    """The baseline: by due time alone, in the queue and at the keeper."""
+    """Baseline: earliest due date first, without regard to feasibility."""
 
     def laxity_ms(self, item, now_ms):
         return 0
 
 
 class NeverRevokes(SlotKeeper):
-    """The baseline: online requests wait for an item's end."""
+    """Baseline: online requests wait until an item ends."""
 
     __slots__ = ()
 
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Switches:
-    """Mechanisms that a trial may switch off, one by one."""
+    """Mechanisms that can be replaced or disabled one by one."""
 
     order: type = ItemOrder
     keeper: type = SlotKeeper
@@ -96,16 +96,16 @@
     """Whether an online request may wait at a full replica."""
 
     late_yields: bool = True
-    """Whether a request that is late waits longer, and behind others."""
+    """Whether a late request may wait longer, but behind others."""
 
     return_ms: tuple[int, int] | None = None
-    """From when until when after a refusal a caller comes once more; None
-    if callers don't come back."""
+    """Bounds of the delay after which a refused caller retries once; None
+    for no retry."""
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of the items and of the online requests."""
+    """Counts of items and online requests by outcome."""
 
     items: int
     late: int
@@ -113,10 +113,11 @@
     revokes: int
     refused: int
     in_time: int
-    """Online requests that got a slot in time."""
+    """Online requests granted a slot in time at the first try."""
 
     returned_in_time: int
-    """Those that did so after a refusal, counted from their return."""
+    """Online requests granted a slot in time after a refusal, timed from
+    their return."""
 
     served_late: int
 
@@ -141,11 +142,11 @@
 
 
 SWITCHES = Switches()
-"""Everything on."""
+"""All mechanisms enabled."""
 
 
 class Fleet:
-    """Plays one load once."""
+    """Simulation of one load with one seed."""
 
     def __init__(self, load, seed, switches=SWITCHES):
         self.load = load
@@ -169,7 +170,7 @@
         return self.switches.keeper(self.load.slots)
 
     def play(self) -> Outcome:
-        """Play to the end; items run on for 18 s after the traffic."""
+        """Run to the end; items run on for `DUE_MS` after the traffic."""
         self._schedule(0, self._online_arrives)
         self._schedule(0, self._job_arrives)
         from_ms, until_ms, count = self.load.loss
--- a/dahliashunt/decisions/tests/test_back_off.py
+++ b/dahliashunt/decisions/tests/test_back_off.py
@@ -23,9 +23,8 @@
 
 
 def test_idle_report_ends_a_back_off():
-    # A foreman is refused as overloaded while the only endpoint stands
-    # idle. It had turned a request away until a stream that ran alone
-    # would end, and that one ended sooner than foretold.
+    # Guards against refusing requests while the only endpoint is idle,
+    # because a running stream ended before the predicted time.
     decisions = EntryDecisions(EntryPolicy(), random.Random(1), "hall-a")
     decisions.endpoint_up(0, EndpointInfo("e", "hall-a", frozenset("m")))
     decisions.report(0, report(1))
@@ -42,9 +41,8 @@
 
 
 def test_suspect_held_up_by_others_closes_nothing_for_them():
-    # A foreman is refused as overloaded beside an endpoint with room. A
-    # suspect that must run alone was turned away there while something
-    # else ran, and that was taken for overload. Only suspects wait.
+    # Guards against refusing other requests because an endpoint rejected a
+    # suspect that must run alone.
     decisions = EntryDecisions(EntryPolicy(), random.Random(1), "hall-a")
     decisions.endpoint_up(0, EndpointInfo("e", "hall-a", frozenset("m")))
     decisions.suspected(0, "f-bad")
--- a/dahliashunt/decisions/tests/test_caller_wait.py
+++ b/dahliashunt/decisions/tests/test_caller_wait.py
@@ -1,4 +1,4 @@
-"""Who had been waiting, by the time that callers have left."""
+"""Estimates of how long callers waited, from their remaining patience."""
 
 import random
 
@@ -15,8 +15,7 @@
 
 
 def test_callers_returning_after_an_outage_are_told_from_new_ones():
-    # An outage of 1.5 s: two in three who come now had been waiting, each
-    # for another time.
+    # Two in three callers return after an outage of up to 1.5 s.
     rng = random.Random(1)
     waits = CallerWaits()
     for _ in range(WINDOW_CALLERS):
@@ -42,8 +41,7 @@
 
 
 def test_a_new_usual_time_is_learned():
-    # A configuration shortens the route's time: nobody has waited longer
-    # because of that.
+    # Guards against a shortened route limit that counts as waiting.
     waits = CallerWaits()
     for _ in range(WINDOW_CALLERS):
         waits.waited_ms("r", USUAL_MS, LIMIT_MS)
--- a/dahliashunt/decisions/tests/test_loss_counts.py
+++ b/dahliashunt/decisions/tests/test_loss_counts.py
@@ -1,4 +1,4 @@
-"""Crashing requests and popular ones, under the losses that they meet."""
+"""Quarantine of crashing requests, and its limits for popular ones."""
 
 from dahliashunt.decisions.loss_counts import INITIAL_QUARANTINE_MS
 from dahliashunt.decisions.loss_counts import LossCounts
@@ -7,7 +7,6 @@
 
 
 def test_a_request_that_takes_replicas_down_is_refused():
-    # One after another, by one call's attempts or by its resends.
     counts = LossCounts()
     for number in range(MAX_LOSSES):
         began_ms = 100 * number
@@ -17,9 +16,8 @@
 
 
 def test_a_popular_request_is_not_refused_for_one_cause():
-    # Everybody asks the same question, and a rack loses power. Eight of
-    # these calls ran there: one loss, not eight in a row, after which
-    # nobody would get an answer for ten minutes.
+    # Guards against counting concurrent runs lost to one cause as several
+    # losses in a row.
     counts = LossCounts()
     for number in range(8):
         counts.lost("popular", 10 * number, 500 + 10 * number)
@@ -28,8 +26,7 @@
 
 
 def test_a_popular_request_comes_back_after_an_outage():
-    # Every replica is dark for some seconds and the question is lost
-    # again and again. Once they are back the first answer clears it.
+    # Guards against a quarantine that outlasts an outage of all replicas.
     counts = LossCounts()
     now_ms = 0
     while now_ms < 10_000 and not counts.is_convicted("popular", now_ms):
@@ -42,7 +39,7 @@
 
 
 def test_a_crashing_request_takes_ever_fewer_replicas():
-    # Its caller sends it again and again for an hour.
+    # Guards against a loss of replicas at each resend over an hour.
     counts = LossCounts()
     taken_ms = []
     for now_ms in range(0, 3_600_000, 1_500):
--- a/dahliashunt/decisions/tests/test_partners.py
+++ b/dahliashunt/decisions/tests/test_partners.py
@@ -1,4 +1,4 @@
-"""Partners at the size to design for, beside asking every replica."""
+"""Partner selection at the designed size, against asking all replicas."""
 
 import collections
 import random
@@ -33,8 +33,7 @@
 
 
 def test_a_lost_replica_moves_only_its_own_place():
-    # If the whole draw moved, an entry would know no load at all just
-    # after replicas were killed, when it must place the most.
+    # Guards against losing all known loads when one replica is lost.
     for one in ENTRIES:
         before = set(choose_partners(one, REPLICAS))
         after = set(choose_partners(one, REPLICAS[1:]))
@@ -59,7 +58,7 @@
 
 
 def _served_share(ask, max_asked=6, slots=7):
-    """Return how many of a wave of requests find a slot at first go."""
+    """Return the share of a burst that finds a slot without a retry."""
     free = dict.fromkeys(REPLICAS, slots)
     rng = random.Random(3)
     served = 0
@@ -75,9 +74,8 @@
 
 
 def test_a_wave_is_served_as_well_as_by_asking_at_random():
-    # 95 in 100 slots are taken within one wave, and entries know no
-    # loads: partners alone leave some replicas idle, and with outsiders
-    # as many requests are served as by draws over the whole list.
+    # Guards against replicas left idle because no entry's partners include
+    # them, with entries that know no loads.
     replicas = [SimpleNamespace(replica_id=name) for name in REPLICAS]
     partners_of = {one: choose_partners(one, REPLICAS) for one in ENTRIES}
 
--- a/dahliashunt/decisions/tests/test_replica_choice.py
+++ b/dahliashunt/decisions/tests/test_replica_choice.py
@@ -1,4 +1,4 @@
-"""Orders of replicas, and suspicion, under the loads that they are for."""
+"""Order of replicas and avoidance of suspected ones."""
 
 import random
 
@@ -25,16 +25,13 @@
 
 
 def test_a_broken_replica_that_looks_idle_goes_last():
-    # It fails fast, so it has all slots free: routing by room alone sends
-    # it everything.
+    # Guards against routing all traffic to a replica that fails fast.
     broken = candidate("a", 0, avoided=True)
     assert order([broken, candidate("b", 7)]) == ["b", "a"]
 
 
 def test_a_cold_replica_goes_after_warm_ones_with_room():
-    # Replicas were replaced one after another; the new ones look idle and
-    # are slow for some seconds, so that all that comes goes there and is
-    # late beside warm replicas with room.
+    # Guards against preferring replicas that are idle but still slow.
     new = candidate("new", 0, cold=True)
     assert order([new, candidate("b", 7)]) == ["b", "new"]
     assert order([new, candidate("b", 8)]) == ["new", "b"]
@@ -42,8 +39,7 @@
 
 
 def test_a_replica_without_an_agent_goes_after_any_with_room():
-    # A rack lost power. Nobody says that its replicas are busy, so that
-    # they look idle, and every request of a wave waits there first.
+    # Guards against asking replicas that look idle for lack of reports.
     gone = candidate("a", 0, unheard=True)
     assert order([gone, candidate("b", 7)]) == ["b", "a"]
     assert order([gone, candidate("b", 8)]) == ["a", "b"]
@@ -52,9 +48,7 @@
 
 
 def test_a_standing_connection_decides_among_replicas_alike_in_load():
-    # An entry of a large fleet has three requests a second and 24 partners,
-    # and replicas close a connection that is idle for 1.5 s: spread evenly,
-    # each request opens a new one.
+    # Guards against opening a new connection for each request.
     fleet = [candidate(name, 3) for name in "abcd"]
     fleet.append(candidate("e", 3, connected=True))
     for seed in range(5):
@@ -78,9 +72,7 @@
 
 
 def test_an_idle_slot_goes_before_one_that_an_item_must_give_up():
-    # Replica a runs one online request and seven items, b six requests and
-    # nothing else. By online requests alone a looks emptier: an item is
-    # revoked there although b has two idle slots.
+    # Guards against revoking an item while another replica has idle slots.
     items = candidate("a", 1, batch=7)
     idle = candidate("b", 6)
     assert order([items, idle]) == ["b", "a"]
@@ -88,8 +80,7 @@
 
 
 def test_a_prompts_parts_revoke_no_item_while_a_slot_is_idle():
-    # Reading 200 shared tokens again costs 3 ms, a revoked item ten times
-    # as much.
+    # A revoked item costs more than reading the shared prompt parts again.
     fleet = [candidate(name) for name in "abcde"]
     (preferred, *_) = order(fleet, "part-7")
     busy = [
@@ -145,8 +136,7 @@
 
 
 def test_probes_come_one_at_a_time():
-    # A replica that was avoided gets one request, not the whole wave that
-    # came meanwhile.
+    # Guards against a burst of requests to a replica that may still fail.
     suspicion = Suspicion()
     suspicion.failed("a", 0)
     now_ms = INITIAL_AVOID_MS
@@ -158,7 +148,7 @@
 
 
 def test_a_replica_that_fails_a_third_stays_suspected():
-    # Its health answers are good; only outcomes show the failures.
+    # Guards against trusting a replica that fails a part of its requests.
     suspicion = Suspicion()
     avoided = 0
     for step in range(60):
--- a/dahliashunt/decisions/tests/test_shared_fleet.py
+++ b/dahliashunt/decisions/tests/test_shared_fleet.py
@@ -1,4 +1,4 @@
-"""Waves, bursts of jobs and losses on a shared fleet, beside former ways."""
+"""Bursts, losses and outages on a shared fleet, per mechanism."""
 
 import dataclasses
 import functools
@@ -17,13 +17,13 @@
 SEEDS = (1, 2)
 
 WAVES = Load()
-"""Demand of three quarters of the slots, in waves."""
+"""Online demand in bursts; three quarters of the slots on average."""
 
 BURST = Load(burst=(4_000, 8_000, 6.0))
-"""Six times the jobs for four seconds early on: most can be in time."""
+"""Six times the jobs for four seconds; most items can be in time."""
 
 OVERLOAD = Load(burst=(4_000, 8_000, 12.0))
-"""Twelve times the jobs: more than can be in time."""
+"""Twelve times the jobs; more items than can be in time."""
 
 LOSS = Load(
     replicas=28,
@@ -34,25 +34,24 @@
     length_ms=16_000,
     loss=(3_000, 9_000, 8),
 )
-"""Demand of nearly all of the slots, and eight replicas of 28 lost."""
+"""Demand for nearly all slots while 8 of 28 replicas are down."""
 
 FULL_LOSS = dataclasses.replace(
     LOSS, jobs_per_s=1.8, length_ms=8_000, loss=(2_000, 7_000, 10)
 )
-"""A wave that meets a fleet without ten of its 28 replicas."""
+"""A burst of online requests while 10 of 28 replicas are down."""
 
 OUTAGE = dataclasses.replace(FULL_LOSS, loss=(0, 0, 0), outage=(3_000, 4_600))
-"""All entries are gone for 1.6 s in a wave, and callers come back."""
+"""All entries are down for 1.6 s in a burst, and callers return."""
 
 NEXT_SLOT_MS = (100, 300)
-"""The former Retry-After: when a slot is next expected."""
+"""Retry delay until the next slot is expected to be free."""
 
 HOLD_BASED_DELAY_MS = (700, 1_470)
-"""Retry-After by `return_time`, for holds of 0.7 s."""
+"""Retry delay of `return_time` for holds of 0.7 s."""
 
 REFUSED_TOLERANCE = 15
-"""One in 200 of some 3,000 online requests: batch may not be bought with
-requests refused."""
+"""Further online requests that a gain for batch may refuse; about 0.5 %."""
 
 
 @functools.cache
@@ -68,9 +67,7 @@
 
 
 def test_waves_revoke_fewer_items_when_idle_slots_are_taken_first():
-    # Crews ask in waves while reports run in the idle slots. Requests go to
-    # the replica with the fewest online requests, where an item is revoked,
-    # although a slot stands idle at the next: items are stopped for nothing.
+    # Guards against revoking an item while another replica has an idle slot.
     baseline = simulate(WAVES, idle_first=False)
     current = simulate(WAVES)
     assert mean(current, "revokes") < 0.8 * mean(baseline, "revokes")
@@ -82,8 +79,7 @@
 
 @pytest.mark.parametrize("load", [BURST, LOSS], ids=["burst", "loss"])
 def test_a_short_cooldown_leaves_fewer_idle_slots_while_items_wait(load):
-    # After each wave slots stood idle for 400 ms while items waited that
-    # then came late.
+    # Guards against slots kept idle after a burst while items become late.
     baseline = simulate(load, recent_ms=400)
     current = simulate(load)
     assert mean(current, "late") < mean(baseline, "late")
@@ -94,9 +90,7 @@
 
 
 def test_a_burst_of_jobs_does_not_make_all_later_items_late():
-    # The office sends a season's reports in four seconds. By due time alone
-    # each report that is late already goes ahead of one that is not yet,
-    # and that one is late in its turn, for the rest of the evening.
+    # Guards against the domino effect of earliest due date first.
     baseline = simulate(OVERLOAD, order=EarliestDue)
     current = simulate(OVERLOAD)
     assert mean(current, "late") < mean(baseline, "late")
@@ -104,7 +98,7 @@
 
 
 def test_without_revokes_a_wave_finds_the_fleet_full():
-    # A wave of clerks meets replicas that reports fill for five seconds.
+    # Guards against a load on which revocation makes no difference.
     disabled = simulate(WAVES, keeper=NeverRevokes)
     assert (
         mean(disabled, "refused")
@@ -118,9 +112,7 @@
 
 @pytest.mark.parametrize("load", [FULL_LOSS, OUTAGE], ids=["loss", "outage"])
 def test_callers_who_return_after_a_hold_time_are_served(load):
-    # Clerks find every slot taken. Told to come back when the next slot is
-    # free they meet the same full fleet, are refused again and give up,
-    # while a second later slots stand idle.
+    # Guards against retries that return to the same full fleet.
     baseline = simulate(load, return_ms=NEXT_SLOT_MS, late_yields=False)
     current = simulate(load, return_ms=HOLD_BASED_DELAY_MS, late_yields=False)
     assert mean(current, "refused") < mean(baseline, "refused")
@@ -128,9 +120,7 @@
 
 
 def test_a_backlog_after_an_outage_does_not_turn_new_callers_away():
-    # Everything was restarted. Callers who found nobody come back at once;
-    # they take every slot, are late all the same, and new callers are
-    # refused in their turn.
+    # Guards against late callers that take the slots of new ones.
     baseline = simulate(
         OUTAGE, return_ms=HOLD_BASED_DELAY_MS, late_yields=False
     )
--- a/dahliashunt/decisions/tests/test_slot_keeper.py
+++ b/dahliashunt/decisions/tests/test_slot_keeper.py
@@ -1,4 +1,4 @@
-"""One replica's slots under waves, lost messages and dead entries."""
+"""Allocation of a replica's slots under bursts, lost messages and failures."""
 
 import pytest
 
@@ -44,9 +44,7 @@
 
 
 def test_an_online_request_takes_the_slot_of_the_item_with_most_slack(keeper):
-    # A wave of online requests meets replicas full of batch items. Without
-    # the revoke the first tokens come when an item ends, five seconds
-    # later; with it the slot is free within a round trip.
+    # Guards against online requests that wait until a batch item ends.
     keeper.ask(batch("urgent", slack_ms=1_000), 0)
     keeper.ask(batch("lax", slack_ms=9_000), 0)
     effects = keeper.ask(online("a"), 10)
@@ -74,8 +72,7 @@
 
 
 def test_a_request_in_time_goes_before_those_that_are_late(keeper):
-    # Everybody comes back after an outage, at once. First come first served
-    # makes the new callers wait behind those whose answers are late anyway.
+    # Guards against new callers that wait behind late ones after an outage.
     for name in ("a", "b"):
         keeper.ask(online(name), 0)
     late = keeper.ask(online("late", 1_200), 0)
@@ -97,8 +94,7 @@
 
 
 def test_a_request_that_would_wait_past_its_time_may_come_back(keeper):
-    # It is told at once, while its caller can still be in time elsewhere,
-    # instead of being queued because it would accept a late answer.
+    # Guards against queueing a request that could be in time elsewhere.
     for name in ("a", "b"):
         keeper.ask(online(name), 0)
     refused = keeper.ask(online("c", 1_600, slack_ms=200), 0)
@@ -106,15 +102,14 @@
 
 
 def test_a_repeated_ask_holds_one_slot(keeper):
-    # The answer to an ask was lost and the entry asks again.
+    # Guards against a second hold when the answer to a request is lost.
     keeper.ask(online("a"), 0)
     assert verdicts(keeper.ask(online("a"), 25)) == [Verdict.GRANTED]
     assert keeper.state().online == 1
 
 
 def test_a_lost_release_is_found_by_the_report(keeper):
-    # The entry's release datagram was lost: without the comparison with
-    # the replica's own list the slot is lost until the entry restarts.
+    # Guards against a slot leak when the release datagram is lost.
     keeper.ask(online("a"), 0)
     keeper.report(frozenset({"a"}), 0, 100)
     keeper.report(NO_RUNS, 0, START_GRACE_MS)
@@ -137,7 +132,7 @@
     keeper.ask(online("a"), 0)
     keeper.renew(["a"], "e2", HOLD_TTL_MS)
     keeper.report(frozenset({"a"}), 0, HOLD_TTL_MS + 1)
-    # It still runs, so that it counts, though nobody holds it.
+    # The run still counts as taken, although its hold has expired.
     assert keeper.state().online == 1
     assert verdicts(keeper.ask(batch("b"), HOLD_TTL_MS + 2)) == [
         Verdict.GRANTED
@@ -145,8 +140,7 @@
 
 
 def test_runs_from_before_a_restart_are_counted(keeper):
-    # An agent restarts while its replica is full. It knows no holds, and
-    # granting by them alone would fill the replica's own queue.
+    # Guards against overfilling a replica whose agent lost its holds.
     keeper.report(frozenset({"x", "y"}), 0, 0)
     assert verdicts(keeper.ask(batch("a"), 1)) == [Verdict.FULL]
     assert verdicts(keeper.ask(online("b"), 1)) == [Verdict.FULL]
@@ -177,9 +171,8 @@
 
 @pytest.mark.parametrize("kept", [True, False], ids=["keeper", "own_counts"])
 def test_a_wave_through_many_entries(kept):
-    # Nine entries, each with a few requests, meet at two slots that batch
-    # items hold. With own counts alone, the baseline, every entry sees
-    # free slots and the replica's queue holds the rest.
+    # Guards against overload by entries that count only their own requests,
+    # which the second case shows.
     keeper = SlotKeeper(slots=2)
     for name in ("i1", "i2"):
         keeper.ask(batch(name), 0)
@@ -193,10 +186,8 @@
 
 @pytest.mark.parametrize("recent_ms", [0, RECENT_MS], ids=["off", "on"])
 def test_batch_does_not_chase_the_gaps_of_a_wave(monkeypatch, recent_ms):
-    # In a wave an online request ends every 100 ms and the next one comes
-    # 20 ms later; an item asks all the time. Without the moment's rest it
-    # is granted and revoked in each gap, reads its prompt again each time
-    # and makes no text.
+    # Guards against an item that is granted and revoked in each short gap
+    # between two online requests and makes no progress.
     monkeypatch.setattr(slot_keeper, "RECENT_MS", recent_ms)
     keeper = SlotKeeper(slots=2)
     keeper.ask(online("r0"), 0)
@@ -217,7 +208,7 @@
 
 
 def test_the_more_urgent_goes_first_among_those_that_wait(keeper):
-    """Guards against a workspace's priority that nothing reads."""
+    """Guards against ignoring the rank of queued requests."""
     for name in ("a", "b"):
         keeper.ask(online(name), 0)
     for name, rank in (("lax", 2), ("usual", 1), ("urgent", 0)):
@@ -232,9 +223,10 @@
 
 
 def saturate(keeper):
-    """Play twice the slots' work; return served and sent by workspace.
+    """Offer twice the capacity; return counts served and sent by workspace.
 
-    Half of it is urgent, the rest of three less urgent workspaces.
+    Half of the requests are urgent; the others are of low priority, spread
+    over `LOW_WORKSPACES`.
     """
     sent, served, ends = {}, {}, {}
     gap_ms = HELD_MS // (2 * keeper.slots)
@@ -261,7 +253,7 @@
 
 
 def test_under_saturation_the_less_urgent_do_not_starve():
-    """Guards against a priority that shuts other workspaces out."""
+    """Guards against starvation of low-priority workspaces."""
     served, sent = saturate(SlotKeeper(slots=4, hold_ms=HELD_MS))
     share = {
         workspace: served[workspace] / sent[workspace] for workspace in sent
