--- a/dahliashunt/decisions/slot_holds.py
+++ b/dahliashunt/decisions/slot_holds.py
@@ -56,7 +56,7 @@
     ----------
     by_id : dict
         Holds by attempt.
-    foreign : int
+    unmatched : int
         Requests at the replica without a hold.
     """
 
