--- a/dahliashunt/decisions/slot_allocator.py
+++ b/dahliashunt/decisions/slot_allocator.py
@@ -1,40 +1,37 @@
-"""Who gets one replica's slots: online first, batch in what is idle.
+"""Allocation of one replica's slots to online requests and batch items.
 
 Load pattern
 ------------
-Online demand swings between a third and twice its mean every few seconds
-while batch items, which hold a slot for five seconds each, fill whatever
-is idle. Many entries, each with a small part of the traffic, share each
-replica, and the replica admits strictly in order of arrival.
+Online demand varies several-fold within seconds, while batch items fill the
+idle slots and hold each for seconds. Many entries share each replica, and
+the replica admits strictly in order of arrival.
 
 What goes wrong without it
 --------------------------
-Entries that count only their own requests meet at one replica while
-another idles; the wave queues behind batch items inside the replica,
-where nothing can overtake them, and first tokens come up to a whole
-request's run too late. One place that counts, beside the replica, sees
-each claim within a network round trip.
+Entries that count only their own requests overload one replica while another
+idles. Online requests then queue behind batch items inside the replica,
+where they can't be reordered. One allocator beside the replica sees all
+demand within a network round trip.
 
 Rules
 -----
-- An online request takes a free slot; if there is none it takes that of
-  the batch item with the most slack, which is told to stop. The item goes
-  on elsewhere from its last event.
-- Batch takes only slots that online requests did not need within the
-  last moment: in a wave a slot stands free for some 20 ms between two
-  online requests, and an item that takes it is revoked before it has read
-  its prompt again, so that none of them goes on.
-- With only online requests inside, a further one waits here, never in the
-  replica, and only if a slot is expected within the time it can wait;
-  else it is told so at once.
-- Requests that can be in time get a free slot before those that are late
-  in any case, so that a backlog after an outage does not make everybody
-  late (`caller_wait`). Late ones may wait for longer.
-- Among these the more urgent go first (`SlotRequest.rank`), but each fourth
-  slot goes to the less urgent one that came first: they don't starve.
-- Holds are compared with the replica's own list (`slot_holds`).
-
-Complexity: each step is linear in the slots, which are few.
+- An online request takes a free slot, or else the slot of the batch item
+  with the most slack. That item is revoked and resumes elsewhere from its
+  last event.
+- Batch gets only slots that online requests did not use in the last
+  `RECENT_MS`: an item in a shorter gap would be revoked before it has read
+  its prompt.
+- If online requests hold all slots, a further one is queued here, never in
+  the replica, and only if a slot is expected within its wait; otherwise it
+  is refused at once.
+- Requests that can meet their deadline go before those that can't, so that
+  a backlog after an outage does not delay all others (`caller_wait`).
+- Among these the lower `Ask.rank` goes first, except that each
+  `LOW_PRIORITY_INTERVAL`-th slot goes to a less urgent request, which
+  prevents starvation.
+- Holds are reconciled with the replica's own list (`slot_holds`).
+
+Complexity: each step is linear in the slots and the queued requests.
 """
 
 from dataclasses import dataclass
@@ -51,51 +48,50 @@
 
 __all__ = ["BATCH_COOLDOWN_MS", "SlotAllocator"]
 
-FIRST_HOLD_MS = 700
-"""Time a slot is held by an online request before any was seen to end;
-about 250 output tokens at 2.8 ms a token."""
+INITIAL_HOLD_MS = 700
+"""Initial estimate of the time an online request holds a slot, in ms."""
 
-HOLD_WEIGHT = 0.1
-"""Weight of a new hold in the mean: the last ten or so count."""
+HOLD_EWMA_WEIGHT = 0.1
+"""Weight of a new hold time in the moving average."""
 
-BATCH_COOLDOWN_MS = 100
-"""How long a slot that an online request has left is kept from batch: as
-long as the next request of a wave takes to come to a replica, which hears
-9 a second in a wave, and three times what an item needs to go on elsewhere.
-Longer makes items late, without it twice as many are revoked."""
+RECENT_MS = 100
+"""Milliseconds for which a slot that an online request released is kept from
+batch; about the time between two requests of a burst."""
 
-
-IN_TURN = 4
-"""Each so many-th slot that becomes free goes to a less urgent request, if
-one waits: then these get a quarter of the slots at the least."""
+LOW_PRIORITY_INTERVAL = 4
+"""One in this many grants goes to a less urgent request, if one waits."""
 
 
 @dataclass(slots=True)
 class _Waiting:
-    ask: SlotRequest
-    until_ms: int
-    late_ms: int
+    ask: Ask
+    expires_ms: int
+    deadline_ms: int
 
     def is_late(self, now_ms):
-        return now_ms > self.late_ms
+        return now_ms > self.deadline_ms
 
 
 @dataclass(slots=True)
-class SlotAllocator:
-    """Decides over the slots of one replica.
+class SlotKeeper:
+    """Allocator of one replica's slots.
 
     Parameters
     ----------
     slots : int
-        What the replica runs at once.
+        Requests that the replica runs concurrently.
+    away : bool
+        Whether the replica is unavailable; nothing is granted then.
+    hold_ms : float
+        Moving average of the time an online request holds a slot.
     """
 
     slots: int
     away: bool = False
-    hold_ms: float = FIRST_HOLD_MS
+    hold_ms: float = INITIAL_HOLD_MS
     _holds: SlotHolds = field(default_factory=SlotHolds)
     _waiting_by_id: dict[AttemptId, _Waiting] = field(default_factory=dict)
-    _left: list[tuple[int, int]] = field(default_factory=list)
+    _recent_online: list[tuple[int, int]] = field(default_factory=list)
     _grants: int = 0
 
     @property
@@ -103,32 +99,34 @@
         """Attempts that hold a slot."""
         return tuple(self._holds.by_id)
 
-    def ask(self, ask: SlotRequest, now_ms: int) -> list:
-        """Decide on `ask`; a repeat gets the verdict that stands."""
+    def ask(self, ask: Ask, now_ms: int) -> list:
+        """Decide on `ask`; idempotent for a repeated attempt."""
         held = self._holds.by_id.get(ask.attempt_id)
         if held is not None:
             held.renewed_ms = now_ms
-            return [_say(ask, SlotDecision.GRANTED)]
+            return [_answer(ask, Verdict.GRANTED)]
         if ask.attempt_id in self._waiting_by_id:
-            return [_say(ask, SlotDecision.QUEUED)]
+            return [_answer(ask, Verdict.QUEUED)]
         if self.away:
-            return [_say(ask, SlotDecision.AWAY)]
+            return [_answer(ask, Verdict.AWAY)]
         if ask.use is Use.BATCH:
             return self._ask_batch(ask, now_ms)
         return self._ask_online(ask, now_ms)
 
     def _ask_batch(self, ask, now_ms):
-        online = self._recent_online(now_ms)
+        online = self._peak_online(now_ms)
         holds = self._holds
-        taken = online + holds.count(Use.BATCH) + holds.foreign
+        taken = online + holds.count(Use.BATCH) + holds.unmatched
         if self._waiting_by_id or taken >= self.slots:
-            return [_say(ask, SlotDecision.FULL)]
+            return [_answer(ask, Verdict.FULL)]
         return [self._grant(ask, now_ms)]
 
-    def _recent_online(self, now_ms):
-        """Return the most slots that online requests held just now."""
-        self._left = [each for each in self._left if each[0] > now_ms]
-        counts = (count for _, count in self._left)
+    def _peak_online(self, now_ms):
+        """Return the peak of online holds over the last `RECENT_MS`."""
+        self._recent_online = [
+            each for each in self._recent_online if each[0] > now_ms
+        ]
+        counts = (count for _, count in self._recent_online)
         return max(self._holds.count(Use.ONLINE), *counts, 0)
 
     def _ask_online(self, ask, now_ms):
@@ -138,65 +136,70 @@
             revoked = self._revoke(now_ms)
             if revoked is not None:
                 return [revoked, self._grant(ask, now_ms)]
-        useful_ms = min(ask.slack_ms, ask.wait_ms) or ask.wait_ms
-        if self._wait_behind_ms(ask, now_ms) > useful_ms:
-            return [_say(ask, SlotDecision.FULL)]
+        max_delay_ms = min(ask.slack_ms, ask.wait_ms) or ask.wait_ms
+        if self._expected_delay_ms(ask, now_ms) > max_delay_ms:
+            return [_answer(ask, Verdict.FULL)]
         self._waiting_by_id[ask.attempt_id] = _Waiting(
             ask, now_ms + ask.wait_ms, now_ms + ask.slack_ms
         )
-        return [_say(ask, SlotDecision.QUEUED)]
+        return [_answer(ask, Verdict.QUEUED)]
 
-    def _wait_behind_ms(self, ask, now_ms):
-        """Return how long `ask` would wait behind those that go before."""
+    def _expected_delay_ms(self, ask, now_ms):
+        """Return the expected queueing delay of `ask`, in ms."""
         ahead = [
             each.ask.rank
             for each in self._waiting_by_id.values()
             if not (ask.slack_ms and each.is_late(now_ms))
         ]
-        behind_ms = self._turn_ms(sum(rank <= ask.rank for rank in ahead))
+        delay_ms = self._queue_delay_ms(
+            sum(rank <= ask.rank for rank in ahead)
+        )
         if ask.rank > min(ahead, default=ask.rank):
-            lax = sum(rank > min(ahead) for rank in ahead)
-            return min(behind_ms, IN_TURN * self._turn_ms(lax))
-        return behind_ms
-
-    def _turn_ms(self, ahead):
+            low_priority = sum(rank > min(ahead) for rank in ahead)
+            return min(
+                delay_ms,
+                LOW_PRIORITY_INTERVAL * self._queue_delay_ms(low_priority),
+            )
+        return delay_ms
+
+    def _queue_delay_ms(self, ahead):
         return int((ahead + 1) * self.hold_ms / max(1, self.slots))
 
     def release(self, attempt_id: AttemptId, now_ms: int) -> list:
-        """Free what `attempt_id` holds, or take it out of the queue."""
+        """Free the slot of `attempt_id`, or take it out of the queue."""
         self._waiting_by_id.pop(attempt_id, None)
         held = self._holds.by_id.pop(attempt_id, None)
         if held is None:
             return []
         if held.ask.use is Use.ONLINE:
-            before = self._holds.count(Use.ONLINE) + 1
-            self._left.append((now_ms + BATCH_COOLDOWN_MS, before))
+            online_count = self._holds.count(Use.ONLINE) + 1
+            self._recent_online.append((now_ms + RECENT_MS, online_count))
             lasted_ms = now_ms - held.since_ms
-            self.hold_ms += HOLD_WEIGHT * (lasted_ms - self.hold_ms)
+            self.hold_ms += HOLD_EWMA_WEIGHT * (lasted_ms - self.hold_ms)
         return self._grant_waiting(now_ms)
 
-    def renew(self, attempt_ids, requester, now_ms: int) -> None:
-        """Note that `requester` still runs `attempt_ids`."""
-        self._holds.renew(attempt_ids, requester, now_ms)
+    def renew(self, attempt_ids, asker, now_ms: int) -> None:
+        """Renew the holds of `attempt_ids` that belong to `asker`."""
+        self._holds.renew(attempt_ids, asker, now_ms)
 
     def report(self, running: frozenset, waiting: int, now_ms: int) -> list:
-        """Compare with what the replica says that it runs and queues."""
-        self._holds.compare(running, waiting, now_ms)
+        """Reconcile the holds with what the replica runs and queues."""
+        self._holds.reconcile(running, waiting, now_ms)
         return self._grant_waiting(now_ms)
 
     def expected_wait_ms(self) -> int:
-        """Return how long one more online request would wait."""
+        """Return the expected wait of one more online request, in ms."""
         if not self._waiting_by_id and (
             self._holds.used < self.slots or self._holds.count(Use.BATCH)
         ):
             return 0
-        return self._turn_ms(len(self._waiting_by_id))
+        return self._queue_delay_ms(len(self._waiting_by_id))
 
-    def state(self) -> AllocatorState:
-        """Return what entries are told."""
-        return AllocatorState(
+    def state(self) -> KeeperState:
+        """Return the state that is sent to entries."""
+        return KeeperState(
             slots=self.slots,
-            online=self._holds.count(Use.ONLINE) + self._holds.foreign,
+            online=self._holds.count(Use.ONLINE) + self._holds.unmatched,
             batch=self._holds.count(Use.BATCH),
             waiting=len(self._waiting_by_id),
             wait_ms=self.expected_wait_ms(),
@@ -204,40 +207,40 @@
         )
 
     def _revoke(self, now_ms):
-        """Take a slot back from batch; None if it holds none."""
-        ask = self._holds.take_back(now_ms)
-        return ask and Revoked(ask.attempt_id, ask.requester)
+        """Revoke a batch hold; return None if there is none."""
+        ask = self._holds.revoke_batch(now_ms)
+        return ask and Revoked(ask.attempt_id, ask.asker)
 
     def _grant(self, ask, now_ms):
         self._holds.grant(ask, now_ms)
-        return _say(ask, SlotDecision.GRANTED)
+        return _answer(ask, Verdict.GRANTED)
 
     def _grant_waiting(self, now_ms):
         answers = []
         for attempt_id, waiting in list(self._waiting_by_id.items()):
-            if waiting.until_ms < now_ms:
+            if waiting.expires_ms < now_ms:
                 del self._waiting_by_id[attempt_id]
-                answers.append(_say(waiting.ask, SlotDecision.FULL))
+                answers.append(_answer(waiting.ask, Verdict.FULL))
         while self._waiting_by_id and self._holds.used < self.slots:
-            waiting = self._waiting_by_id.pop(self._next(now_ms))
+            waiting = self._waiting_by_id.pop(self._next_attempt_id(now_ms))
             answers.append(self._grant(waiting.ask, now_ms))
         return answers
 
-    def _next(self, now_ms):
-        """Return whose turn it is; of equals the first that came."""
+    def _next_attempt_id(self, now_ms):
+        """Return the attempt to grant next; first come among equals."""
         self._grants += 1
-        best = min(each.ask.rank for each in self._waiting_by_id.values())
-        is_lax_turn = self._grants % IN_TURN == 0
+        top_rank = min(each.ask.rank for each in self._waiting_by_id.values())
+        is_low_priority_turn = self._grants % LOW_PRIORITY_INTERVAL == 0
 
-        def place(attempt_id):
+        def sort_key(attempt_id):
             waiting = self._waiting_by_id[attempt_id]
             rank = waiting.ask.rank
-            if is_lax_turn:
-                rank = rank == best
+            if is_low_priority_turn:
+                rank = rank == top_rank
             return waiting.is_late(now_ms), rank
 
-        return min(self._waiting_by_id, key=place)
+        return min(self._waiting_by_id, key=sort_key)
 
 
-def _say(ask, verdict):
-    return SlotReply(ask.attempt_id, ask.requester, verdict)
+def _answer(ask, verdict):
+    return Answered(ask.attempt_id, ask.asker, verdict)
--- a/dahliashunt/decisions/slot_messages.py
+++ b/dahliashunt/decisions/slot_messages.py
@@ -1,4 +1,4 @@
-"""What entries and the keeper of a replica's slots tell each other."""
+"""Messages between entries and the agent that grants a replica's slots."""
 
 from dataclasses import dataclass
 import enum
@@ -17,14 +17,14 @@
 
 
 class Use(enum.Enum):
-    """What a slot is for."""
+    """Kind of work that a slot is requested for."""
 
     ONLINE = "online"
     BATCH = "batch"
 
 
-class SlotDecision(enum.Enum):
-    """Answer to an ask."""
+class Verdict(enum.Enum):
+    """Answer to a request for a slot."""
 
     GRANTED = "granted"
     QUEUED = "queued"
@@ -33,24 +33,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotRequest:
-    """An entry wants a slot.
+class Ask:
+    """Request of an entry for a slot.
 
     Attributes
     ----------
     attempt_id : AttemptId
     run_id : RequestId
-        How the replica lists the request.
-    requester : object
-        Where answers go; compared only.
+        Id under which the replica lists the request.
+    asker : object
+        Address for the answers; only compared.
     use : Use
     wait_ms : int
-        How long an online request would wait here.
+        Longest time an online request waits in the queue.
     slack_ms : int
-        Of a batch item: time until it is due. Of an online request: how
-        long it may wait and still be in time, 0 if it can't be.
+        For a batch item, the time until it is due. For an online request,
+        the longest wait that meets its deadline; 0 if none does.
     rank : int
-        Of an online request; 0 is the most urgent.
+        Priority of an online request; 0 is the most urgent.
     """
 
     attempt_id: AttemptId
@@ -63,8 +63,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotReply:
-    """Tell `requester` the verdict on its attempt."""
+class Answered:
+    """Verdict on an attempt, to be sent to `asker`."""
 
     attempt_id: AttemptId
     requester: object
@@ -73,22 +73,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Revoked:
-    """Tell `requester` to stop its attempt and make room."""
+    """Order to `asker` to stop its attempt and free the slot."""
 
     attempt_id: AttemptId
     requester: object
 
 
 @dataclass(frozen=True, slots=True)
-class AllocatorState:
-    """What entries are told of one replica.
+class KeeperState:
+    """State of one replica's slots, as sent to entries.
 
     Attributes
     ----------
     slots, online, batch, waiting : int
+        Slots in all, slots held by online requests and by batch items, and
+        queued online requests.
     wait_ms : int
         Expected wait of one more online request.
     away : bool
+        Whether the replica is unavailable.
     """
 
     slots: int
--- a/dahliashunt/decisions/tests/test_slot_allocator.py
+++ b/dahliashunt/decisions/tests/test_slot_allocator.py
@@ -1,19 +1,21 @@
-"""One replica's slots under waves, lost messages and dead entries."""
+"""Allocation of a replica's slots under bursts, lost messages and failures."""
 
 import pytest
 
-from dahliashunt.decisions import slot_allocator
-from dahliashunt.decisions.slot_allocator import BATCH_COOLDOWN_MS
-from dahliashunt.decisions.slot_allocator import SlotAllocator
-from dahliashunt.decisions.slot_holds import RENEW_WITHIN_MS
-from dahliashunt.decisions.slot_holds import UNSEEN_MS
+from dahliashunt.decisions import slot_keeper
+from dahliashunt.decisions.slot_holds import HOLD_TTL_MS
+from dahliashunt.decisions.slot_holds import START_GRACE_MS
+from dahliashunt.decisions.slot_keeper import RECENT_MS
+from dahliashunt.decisions.slot_keeper import SlotKeeper
+from dahliashunt.decisions.slot_messages import Answered
+from dahliashunt.decisions.slot_messages import Ask
 from dahliashunt.decisions.slot_messages import Revoked
 from dahliashunt.decisions.slot_messages import SlotDecision
 from dahliashunt.decisions.slot_messages import SlotReply
 from dahliashunt.decisions.slot_messages import SlotRequest
 from dahliashunt.decisions.slot_messages import Use
 
-NOTHING = frozenset()
+NO_RUNS = frozenset()
 
 
 @pytest.fixture
@@ -45,13 +47,11 @@
     assert verdicts(allocator.ask(online("c"), 0)) == [SlotDecision.FULL]
 
 
-def test_an_online_request_takes_the_slot_of_the_laxest_item(allocator):
-    # A wave of online requests meets replicas full of batch items. Without
-    # the revoke the first tokens come when an item ends, five seconds
-    # later; with it the slot is free within a round trip.
-    allocator.ask(batch("urgent", slack_ms=1_000), 0)
-    allocator.ask(batch("lax", slack_ms=9_000), 0)
-    effects = allocator.ask(online("a"), 10)
+def test_an_online_request_takes_the_slot_of_the_item_with_most_slack(keeper):
+    # Guards against online requests that wait until a batch item ends.
+    keeper.ask(batch("urgent", slack_ms=1_000), 0)
+    keeper.ask(batch("lax", slack_ms=9_000), 0)
+    effects = keeper.ask(online("a"), 10)
     assert revoked(effects) == ["lax"]
     assert verdicts(effects) == [SlotDecision.GRANTED]
 
@@ -79,9 +79,8 @@
     ]
 
 
-def test_a_request_in_time_goes_before_those_that_are_late(allocator):
-    # Everybody comes back after an outage, at once. First come first served
-    # makes the new callers wait behind those whose answers are late anyway.
+def test_a_request_in_time_goes_before_those_that_are_late(keeper):
+    # Guards against new callers that wait behind late ones after an outage.
     for name in ("a", "b"):
         allocator.ask(online(name), 0)
     late = allocator.ask(online("late", 1_200), 0)
@@ -102,60 +101,57 @@
     assert granted.attempt_id == "new"
 
 
-def test_a_request_that_would_wait_past_its_time_may_come_back(allocator):
-    # It is told at once, while its caller can still be in time elsewhere,
-    # instead of being queued because it would accept a late answer.
+def test_a_request_that_would_wait_past_its_time_may_come_back(keeper):
+    # Guards against queueing a request that could be in time elsewhere.
     for name in ("a", "b"):
         allocator.ask(online(name), 0)
     refused = allocator.ask(online("c", 1_600, slack_ms=200), 0)
     assert verdicts(refused) == [SlotDecision.FULL]
 
 
-def test_a_repeated_ask_holds_one_slot(allocator):
-    # The answer to an ask was lost and the entry asks again.
-    allocator.ask(online("a"), 0)
-    assert verdicts(allocator.ask(online("a"), 25)) == [SlotDecision.GRANTED]
-    assert allocator.state().online == 1
+def test_a_repeated_ask_holds_one_slot(keeper):
+    # Guards against a second hold when the answer to a request is lost.
+    keeper.ask(online("a"), 0)
+    assert verdicts(keeper.ask(online("a"), 25)) == [Verdict.GRANTED]
+    assert keeper.state().online == 1
 
 
-def test_a_lost_release_is_found_by_the_report(allocator):
-    # The entry's release datagram was lost: without the comparison with
-    # the replica's own list the slot is lost until the entry restarts.
-    allocator.ask(online("a"), 0)
-    allocator.report(frozenset({"a"}), 0, 100)
-    allocator.report(NOTHING, 0, UNSEEN_MS)
-    assert allocator.state().online == 1
-    allocator.report(NOTHING, 0, UNSEEN_MS + 1)
-    assert allocator.state().online == 0
+def test_a_lost_release_is_found_by_the_report(keeper):
+    # Guards against a slot leak when the release datagram is lost.
+    keeper.ask(online("a"), 0)
+    keeper.report(frozenset({"a"}), 0, 100)
+    keeper.report(NO_RUNS, 0, START_GRACE_MS)
+    assert keeper.state().online == 1
+    keeper.report(NO_RUNS, 0, START_GRACE_MS + 1)
+    assert keeper.state().online == 0
 
 
-def test_a_dead_entrys_slots_come_back(allocator):
-    allocator.ask(online("a"), 0)
-    allocator.renew(["a"], "e1", 1_000)
+def test_a_dead_entrys_slots_are_freed(keeper):
+    keeper.ask(online("a"), 0)
+    keeper.renew(["a"], "e1", 1_000)
     running = frozenset({"a"})
-    allocator.report(running, 0, 1_000 + RENEW_WITHIN_MS)
-    assert allocator.state().online == 1
-    allocator.report(NOTHING, 0, 1_001 + RENEW_WITHIN_MS)
-    assert allocator.state().online == 0
-
-
-def test_another_entrys_renewal_keeps_nothing(allocator):
-    allocator.ask(online("a"), 0)
-    allocator.renew(["a"], "e2", RENEW_WITHIN_MS)
-    allocator.report(frozenset({"a"}), 0, RENEW_WITHIN_MS + 1)
-    # It still runs, so that it counts, though nobody holds it.
-    assert allocator.state().online == 1
-    assert verdicts(allocator.ask(batch("b"), RENEW_WITHIN_MS + 2)) == [
-        SlotDecision.GRANTED
+    keeper.report(running, 0, 1_000 + HOLD_TTL_MS)
+    assert keeper.state().online == 1
+    keeper.report(NO_RUNS, 0, 1_001 + HOLD_TTL_MS)
+    assert keeper.state().online == 0
+
+
+def test_another_entrys_renewal_keeps_nothing(keeper):
+    keeper.ask(online("a"), 0)
+    keeper.renew(["a"], "e2", HOLD_TTL_MS)
+    keeper.report(frozenset({"a"}), 0, HOLD_TTL_MS + 1)
+    # The run still counts as taken, although its hold has expired.
+    assert keeper.state().online == 1
+    assert verdicts(keeper.ask(batch("b"), HOLD_TTL_MS + 2)) == [
+        Verdict.GRANTED
     ]
 
 
-def test_runs_from_before_a_restart_are_counted(allocator):
-    # An agent restarts while its replica is full. It knows no holds, and
-    # granting by them alone would fill the replica's own queue.
-    allocator.report(frozenset({"x", "y"}), 0, 0)
-    assert verdicts(allocator.ask(batch("a"), 1)) == [SlotDecision.FULL]
-    assert verdicts(allocator.ask(online("b"), 1)) == [SlotDecision.FULL]
+def test_runs_from_before_a_restart_are_counted(keeper):
+    # Guards against overfilling a replica whose agent lost its holds.
+    keeper.report(frozenset({"x", "y"}), 0, 0)
+    assert verdicts(keeper.ask(batch("a"), 1)) == [Verdict.FULL]
+    assert verdicts(keeper.ask(online("b"), 1)) == [Verdict.FULL]
 
 
 def test_a_revoked_run_is_not_counted_while_it_ends(allocator):
@@ -183,10 +179,9 @@
 
 @pytest.mark.parametrize("kept", [True, False], ids=["keeper", "own_counts"])
 def test_a_wave_through_many_entries(kept):
-    # Nine entries, each with a few requests, meet at two slots that batch
-    # items hold. With own counts alone, the baseline, every entry sees
-    # free slots and the replica's queue holds the rest.
-    allocator = SlotAllocator(slots=2)
+    # Guards against overload by entries that count only their own requests,
+    # which the second case shows.
+    keeper = SlotKeeper(slots=2)
     for name in ("i1", "i2"):
         allocator.ask(batch(name), 0)
     inside = 2
@@ -201,14 +196,12 @@
     "recent_ms", [0, BATCH_COOLDOWN_MS], ids=["off", "on"]
 )
 def test_batch_does_not_chase_the_gaps_of_a_wave(monkeypatch, recent_ms):
-    # In a wave an online request ends every 100 ms and the next one comes
-    # 20 ms later; an item asks all the time. Without the moment's rest it
-    # is granted and revoked in each gap, reads its prompt again each time
-    # and makes no text.
-    monkeypatch.setattr(slot_allocator, "BATCH_COOLDOWN_MS", recent_ms)
-    allocator = SlotAllocator(slots=2)
-    allocator.ask(online("r0"), 0)
-    allocator.ask(online("r1"), 50)
+    # Guards against an item that is granted and revoked in each short gap
+    # between two online requests and makes no progress.
+    monkeypatch.setattr(slot_keeper, "RECENT_MS", recent_ms)
+    keeper = SlotKeeper(slots=2)
+    keeper.ask(online("r0"), 0)
+    keeper.ask(online("r1"), 50)
     revokes = 0
     for step in range(30):
         now_ms = 100 * step + 100
@@ -224,8 +217,8 @@
     ]
 
 
-def test_the_more_urgent_goes_first_among_those_that_wait(allocator):
-    """Guards against a workspace's priority that nothing reads."""
+def test_the_more_urgent_goes_first_among_those_that_wait(keeper):
+    """Guards against ignoring the rank of queued requests."""
     for name in ("a", "b"):
         allocator.ask(online(name), 0)
     for name, rank in (("lax", 2), ("usual", 1), ("urgent", 0)):
@@ -236,41 +229,46 @@
 
 SATURATED_MS = 60_000
 HELD_MS = 80
-LAX_WORKSPACES = 3
+LOW_WORKSPACES = 3
 
 
-def saturate(allocator):
-    """Play twice the slots' work; return served and sent by workspace.
+def saturate(keeper):
+    """Offer twice the capacity; return counts served and sent by workspace.
 
-    Half of it is urgent, the rest of three less urgent workspaces.
+    Half of the requests are urgent; the others are of low priority, spread
+    over `LOW_WORKSPACES`.
     """
     sent, served, ends = {}, {}, {}
     gap_ms = HELD_MS // (2 * allocator.slots)
     for number, now_ms in enumerate(range(0, SATURATED_MS, gap_ms)):
         for name in [n for n, at_ms in ends.items() if at_ms <= now_ms]:
             del ends[name]
-            note(allocator.release(name, now_ms), served, ends, now_ms)
+            record(keeper.release(name, now_ms), served, ends, now_ms)
         is_urgent = number % 2 == 0
-        space = "u" if is_urgent else f"l{number // 2 % LAX_WORKSPACES}"
-        sent[space] = sent.get(space, 0) + 1
-        ask = online(f"{space} {number}", 300, "e", 300, 0 if is_urgent else 2)
-        note(allocator.ask(ask, now_ms), served, ends, now_ms)
+        workspace = "u" if is_urgent else f"l{number // 2 % LOW_WORKSPACES}"
+        sent[workspace] = sent.get(workspace, 0) + 1
+        ask = online(
+            f"{workspace} {number}", 300, "e", 300, 0 if is_urgent else 2
+        )
+        record(keeper.ask(ask, now_ms), served, ends, now_ms)
     return served, sent
 
 
-def note(effects, served, ends, now_ms):
+def record(effects, served, ends, now_ms):
     for effect in effects:
-        if effect.verdict is SlotDecision.GRANTED:
-            space = effect.attempt_id.split()[0]
-            served[space] = served.get(space, 0) + 1
+        if effect.verdict is Verdict.GRANTED:
+            workspace = effect.attempt_id.split()[0]
+            served[workspace] = served.get(workspace, 0) + 1
             ends[effect.attempt_id] = now_ms + HELD_MS
 
 
 def test_under_saturation_the_less_urgent_do_not_starve():
-    """Guards against a priority that shuts other workspaces out."""
-    served, sent = saturate(SlotAllocator(slots=4, hold_ms=HELD_MS))
-    share = {space: served[space] / sent[space] for space in sent}
+    """Guards against starvation of low-priority workspaces."""
+    served, sent = saturate(SlotKeeper(slots=4, hold_ms=HELD_MS))
+    share = {
+        workspace: served[workspace] / sent[workspace] for workspace in sent
+    }
     mean = sum(served.values()) / sum(sent.values())
-    lax = [share[f"l{n}"] for n in range(LAX_WORKSPACES)]
-    assert share["u"] >= max(lax)
-    assert min(lax) >= mean / 4
+    low_priority = [share[f"l{n}"] for n in range(LOW_WORKSPACES)]
+    assert share["u"] >= max(low_priority)
+    assert min(low_priority) >= mean / 4
