--- a/dahliashunt/decisions/attempt_ends.py
+++ b/dahliashunt/decisions/attempt_ends.py
@@ -8,7 +8,7 @@
 from dahliashunt.decisions.events import AttemptEnd
 from dahliashunt.decisions.events import GiveUp
 from dahliashunt.decisions.events import Loss
-from dahliashunt.decisions.tracked import Tracked
+from dahliashunt.decisions.tracked import TrackedRequest
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import Ran
 from dahliashunt.ids import Fingerprint
@@ -23,7 +23,7 @@
         self._state = state
         self._dispatcher = dispatcher
 
-    def done(self, now: int, tracked: Tracked) -> None:
+    def done(self, now: int, tracked: TrackedRequest) -> None:
         """Learn from an attempt that ended well, and forget it."""
         request = tracked.request
         endpoint_ms = now - tracked.sent_ms
@@ -36,7 +36,7 @@
         self._dispatcher.settle(tracked, ran=True)
         del self._state.tracked_by_id[request.request_id]
 
-    def learn_first_token(self, now: int, tracked: Tracked) -> None:
+    def learn_first_token(self, now: int, tracked: TrackedRequest) -> None:
         """Learn from the time to a first token.
 
         It is late by what its prompt takes with no load. The caller's
@@ -48,11 +48,11 @@
         ms = now - tracked.sent_ms
         state = self._state.model(request.model)
         unloaded = state.first_token(
-            ms, request.prompt_tokens, tracked.uncached
+            ms, request.prompt_tokens, tracked.uncached_tokens
         )
         target = policy.first_token_slack_ms + unloaded * policy.unloaded_times
         self._state.fleet.first_token(
-            now, tracked.endpoint, ms, tracked.pending_with, target
+            now, tracked.endpoint, ms, tracked.pending_at_dispatch, target
         )
 
     def note_failure(
@@ -73,18 +73,18 @@
         if end is AttemptEnd.NOT_RUN and retry_after_ms is not None:
             # The time fits the refused request, not all others: kept for
             # long it would leave free places unused under saturation.
-            most = self._state.policy.back_off_max_ms
-            endpoint.back_off_until_ms = now + min(retry_after_ms, most)
+            longest_ms = self._state.policy.back_off_max_ms
+            endpoint.back_off_until_ms = now + min(retry_after_ms, longest_ms)
             endpoint.limit.congested(now)
         elif end is AttemptEnd.CRASHED:
             self._state.fleet.crashed(now, endpoint)
         else:
             self._state.fleet.failed(now, endpoint)
 
-    def again(
+    def retry_or_answer(
         self,
         now: int,
-        tracked: Tracked,
+        tracked: TrackedRequest,
         end: AttemptEnd,
         retry_after_ms: int | None,
         delivered: bool,
@@ -101,21 +101,25 @@
         fingerprint = request.fingerprint
         if self._state.suspects.convicted_until(now, fingerprint) is not None:
             return [
-                self._dispatcher.give_up(tracked, ErrorKind.CONVICTED, None)
+                self._dispatcher.refuse(tracked, ErrorKind.CONVICTED, None)
             ]
-        if not self._may_try_again(now, tracked, end, delivered):
-            return [self._final(now, tracked, end, retry_after_ms)]
+        if not self._may_retry(now, tracked, end, delivered):
+            return [self._final_answer(now, tracked, end, retry_after_ms)]
         if not self._state.fleet.serving(request.model):
             after = self._state.model(request.model).retry_after(
                 now, 0, self._state.rng
             )
             return [
-                self._dispatcher.give_up(tracked, ErrorKind.NO_ENDPOINT, after)
+                self._dispatcher.refuse(tracked, ErrorKind.NO_ENDPOINT, after)
             ]
         return self._dispatcher.place(now, tracked)
 
-    def _may_try_again(
-        self, now: int, tracked: Tracked, end: AttemptEnd, delivered: bool
+    def _may_retry(
+        self,
+        now: int,
+        tracked: TrackedRequest,
+        end: AttemptEnd,
+        delivered: bool,
     ) -> bool:
         request = tracked.request
         if end is not AttemptEnd.NOT_RUN and (
@@ -133,15 +137,15 @@
             return True
         return self._state.budget.take(request.caller)
 
-    def _final(
+    def _final_answer(
         self,
         now: int,
-        tracked: Tracked,
+        tracked: TrackedRequest,
         end: AttemptEnd,
         retry_after_ms: int | None,
     ) -> GiveUp:
         if tracked.ran is not Ran.NO and not tracked.request.may_repeat:
-            return self._dispatcher.give_up(
+            return self._dispatcher.refuse(
                 tracked, ErrorKind.OUTCOME_UNKNOWN, None
             )
         kind = ErrorKind.ENDPOINT_LOST
@@ -151,12 +155,12 @@
             kind = ErrorKind.OVERLOADED
         state = self._state.model(tracked.request.model)
         after = state.retry_after(now, retry_after_ms or 0, self._state.rng)
-        return self._dispatcher.give_up(tracked, kind, after)
+        return self._dispatcher.refuse(tracked, kind, after)
 
-    def blame(
+    def count_crash(
         self,
         now: int,
-        tracked: Tracked,
+        tracked: TrackedRequest,
         alongside: tuple[Fingerprint, ...],
     ) -> list[Decision]:
         """Count a crash for all that ran there, once for each.
@@ -165,28 +169,28 @@
         waited at the agent ends as not run and is under no suspicion.
         """
         own = tracked.request.fingerprint
-        blamed = tracked.endpoint.blamed
+        crash_counted = tracked.endpoint.crash_counted
         ran = {own, *alongside}
         alone = tracked.alone and len(ran) == 1
         out: list[Decision] = []
-        for fingerprint in sorted(ran - blamed):
-            blamed.add(fingerprint)
+        for fingerprint in sorted(ran - crash_counted):
+            crash_counted.add(fingerprint)
             if self._state.suspects.crashed(now, fingerprint, alone):
-                out += self._dispatcher.drop_convicted(now, fingerprint)
+                out += self._dispatcher.refuse_convicted(now, fingerprint)
         return out
 
-    def blame_lost(self, now: int, tracked: Tracked) -> list[Decision]:
+    def count_loss(self, now: int, tracked: TrackedRequest) -> list[Decision]:
         """Count a loss of unknown cause as half a crash."""
         # An agent that dies with its engine can't say that it crashed:
         # the link just breaks. Two such losses make a suspect.
         endpoint = tracked.endpoint
         fingerprint = tracked.request.fingerprint
         leaving = endpoint.loss is Loss.LEAVING
-        if leaving or fingerprint in endpoint.blamed:
+        if leaving or fingerprint in endpoint.crash_counted:
             return []
-        endpoint.blamed.add(fingerprint)
+        endpoint.crash_counted.add(fingerprint)
         if self._state.suspects.crashed(
             now, fingerprint, alone=tracked.alone, weight=0.5
         ):
-            return self._dispatcher.drop_convicted(now, fingerprint)
+            return self._dispatcher.refuse_convicted(now, fingerprint)
         return []
--- a/dahliashunt/decisions/dispatcher.py
+++ b/dahliashunt/decisions/dispatcher.py
@@ -9,9 +9,9 @@
 from dahliashunt.decisions.model_state import ModelState
 from dahliashunt.decisions.queueing import Waiting
 from dahliashunt.decisions.refusals import MESSAGE_BY_KIND
-from dahliashunt.decisions.routing import Ask
+from dahliashunt.decisions.routing import RoutingQuery
 from dahliashunt.decisions.tracked import Phase
-from dahliashunt.decisions.tracked import Tracked
+from dahliashunt.decisions.tracked import TrackedRequest
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import Ran
 from dahliashunt.ids import Fingerprint
@@ -20,10 +20,10 @@
 
 Decision = Dispatch | GiveUp
 
-_LOOK_AHEAD = 8
+_LOOKAHEAD = 8
 """Waiting requests looked at for one that fits what came free."""
 
-_OVERTAKEN_MAX = 4
+_MAX_OVERTAKES = 4
 """How often one may be passed for a better fit."""
 
 
@@ -33,23 +33,27 @@
     def __init__(self, state: EntryState):
         self._state = state
 
-    def place(self, now: int, tracked: Tracked) -> list[Decision]:
+    def place(self, now: int, tracked: TrackedRequest) -> list[Decision]:
         """Dispatch now, or wait, or turn away."""
         request = tracked.request
         if self._state.suspects.is_suspect(now, request.fingerprint):
-            return self._to_lane(now, tracked)
+            return self._isolate(now, tracked)
         state = self._state.model(request.model)
         if tracked.tag is None:
             tracked.tag = state.order.tag(
                 now, request.caller, tracked.cost, tracked.weight
             )
-        if self._may_go_first(now, state, tracked.tag):
-            endpoint = self._state.router.choose(self._ask(now, tracked))
+        if self._may_bypass_queue(now, state, tracked.tag):
+            endpoint = self._state.router.choose(
+                self._routing_query(now, tracked)
+            )
             if endpoint is not None:
                 return [self._dispatch(now, tracked, endpoint)]
         return self._enqueue(now, tracked, state)
 
-    def _may_go_first(self, now: int, state: ModelState, tag: float) -> bool:
+    def _may_bypass_queue(
+        self, now: int, state: ModelState, tag: float
+    ) -> bool:
         """Tell whether room may exist for a newcomer with `tag`.
 
         While somebody waits there is room only for those that the first
@@ -61,11 +65,11 @@
         if queue.place(tag):
             return False
         first = self._state.tracked_by_id[queue[0].request_id]
-        ask = self._ask(now, first)
-        return ask.over_share or bool(ask.avoid)
+        query = self._routing_query(now, first)
+        return query.over_share or bool(query.avoid)
 
     def _enqueue(
-        self, now: int, tracked: Tracked, state: ModelState
+        self, now: int, tracked: TrackedRequest, state: ModelState
     ) -> list[Decision]:
         request = tracked.request
         queue = state.queue
@@ -75,13 +79,13 @@
         if not state.discipline.admits(
             now, queue, left, ahead, tokens, state.drain()
         ):
-            return [self.turn_away(now, tracked)]
+            return [self.refuse_overloaded(now, tracked)]
         out: list[Decision] = []
         if len(queue) >= self._state.policy.queue_length:
             if not len(queue) or queue[-1].tag <= tracked.tag:
-                return [self.turn_away(now, tracked)]
+                return [self.refuse_overloaded(now, tracked)]
             last = self._state.tracked_by_id[queue[-1].request_id]
-            out.append(self.turn_away(now, last))
+            out.append(self.refuse_overloaded(now, last))
         self._state.sequence += 1
         tracked.phase = Phase.WAITING
         tracked.waiting = Waiting(
@@ -95,7 +99,7 @@
         queue.push(tracked.waiting)
         return out
 
-    def turn_away(self, now: int, tracked: Tracked) -> GiveUp:
+    def refuse_overloaded(self, now: int, tracked: TrackedRequest) -> GiveUp:
         """Refuse for load, with the time of a useful resend."""
         state = self._state.model(tracked.request.model)
         excess = 0.0
@@ -104,10 +108,10 @@
             left = tracked.request.first_token_by_ms - now
             excess = drain.wait_ms(state.queue.place(tracked.tag)) - left
         after = state.retry_after(now, excess, self._state.rng)
-        return self.give_up(tracked, ErrorKind.OVERLOADED, after)
+        return self.refuse(tracked, ErrorKind.OVERLOADED, after)
 
-    def give_up(
-        self, tracked: Tracked, kind: ErrorKind, after: int | None
+    def refuse(
+        self, tracked: TrackedRequest, kind: ErrorKind, after: int | None
     ) -> GiveUp:
         """Give the final answer."""
         self.drop(tracked)
@@ -120,17 +124,17 @@
             MESSAGE_BY_KIND[kind],
         )
 
-    def drop(self, tracked: Tracked) -> None:
+    def drop(self, tracked: TrackedRequest) -> None:
         """Forget a request that is not running; give back its charge."""
         request = tracked.request
         del self._state.tracked_by_id[request.request_id]
         state = self._state.model(request.model)
         if tracked.waiting is not None:
             state.queue.remove(tracked.waiting)
-        self._state.lane.discard(request.request_id)
+        self._state.suspect_queue.discard(request.request_id)
         self.settle(tracked, ran=tracked.ran is not Ran.NO)
 
-    def settle(self, tracked: Tracked, ran: bool) -> None:
+    def settle(self, tracked: TrackedRequest, ran: bool) -> None:
         """Charge what was used in place of what was expected."""
         request = tracked.request
         state = self._state.model(request.model)
@@ -139,16 +143,16 @@
             cost = state.cost_of(request.prompt_tokens, tracked.tokens)
             tokens = request.prompt_tokens + tracked.tokens
         if tracked.tag is not None:
-            off = cost - tracked.cost
-            state.order.settle(request.caller, off, tracked.weight)
-        if tracked.taken:
-            over = tracked.taken - tokens
-            self._state.buckets.give_back(request.caller, over)
+            correction = cost - tracked.cost
+            state.order.settle(request.caller, correction, tracked.weight)
+        if tracked.charged_tokens:
+            unused = tracked.charged_tokens - tokens
+            self._state.buckets.give_back(request.caller, unused)
 
     def _dispatch(
         self,
         now: int,
-        tracked: Tracked,
+        tracked: TrackedRequest,
         endpoint: Endpoint,
         alone: bool = False,
     ) -> Dispatch:
@@ -169,55 +173,55 @@
         self._state.fleet.in_flight += 1
         self._state.in_flight.add(request.caller, tracked.cost, tracked.weight)
         endpoint.sent_ms_by_request[request.request_id] = now
-        endpoint.blamed.discard(request.fingerprint)
-        held = self._state.prefixes.held_part(
+        endpoint.crash_counted.discard(request.fingerprint)
+        held = self._state.prefixes.cached_fraction(
             now, endpoint.endpoint_id, request.prefix_keys
         )
-        tracked.uncached = request.prompt_tokens * (1 - held)
-        tracked.pending = tracked.uncached
-        endpoint.pending_tokens += tracked.pending
-        tracked.pending_with = endpoint.pending_tokens
+        tracked.uncached_tokens = request.prompt_tokens * (1 - held)
+        tracked.prefill_tokens = tracked.uncached_tokens
+        endpoint.pending_tokens += tracked.prefill_tokens
+        tracked.pending_at_dispatch = endpoint.pending_tokens
         if alone:
             endpoint.reserved_by = request.request_id
-        self._state.prefixes.sent(
+        self._state.prefixes.record_dispatch(
             now, endpoint.endpoint_id, request.prefix_keys
         )
         return Dispatch(request.request_id, endpoint.endpoint_id, alone)
 
-    def release(self, tracked: Tracked) -> None:
+    def release(self, tracked: TrackedRequest) -> None:
         """Free the place of an attempt that ended."""
         endpoint = tracked.endpoint
         request_id = tracked.request.request_id
         endpoint.sent_ms_by_request.pop(request_id, None)
-        self.not_pending(tracked)
+        self.prefill_done(tracked)
         self._state.fleet.in_flight -= 1
         self._state.in_flight.remove(tracked.request.caller, tracked.cost)
         self._state.model(tracked.request.model).in_flight -= 1
         if tracked.alone:
             endpoint.reserved_by = None
-            self._state.lane.running = None
+            self._state.suspect_queue.running = None
         self._state.fleet.forget_if_idle(endpoint)
 
-    def not_pending(self, tracked: Tracked) -> None:
+    def prefill_done(self, tracked: TrackedRequest) -> None:
         """Note that its prefill is over."""
         endpoint = tracked.endpoint
-        endpoint.pending_tokens -= tracked.pending
-        tracked.pending = 0.0
+        endpoint.pending_tokens -= tracked.prefill_tokens
+        tracked.prefill_tokens = 0.0
         if not endpoint.sent_ms_by_request:
             endpoint.pending_tokens = 0.0
 
-    def pump_endpoint(self, now: int, endpoint: Endpoint) -> list[Decision]:
+    def fill_endpoint(self, now: int, endpoint: Endpoint) -> list[Decision]:
         """Give waiting requests what has come free on one endpoint."""
         out: list[Decision] = []
-        for state in self._by_oldest(endpoint):
+        for state in self._models_by_oldest(endpoint):
             while len(state.queue):
-                tracked = self._next_for(now, state, endpoint)
+                tracked = self._next_request_for(now, state, endpoint)
                 if tracked is None:
                     break
-                out += self._send_or_isolate(now, tracked, endpoint)
+                out += self._dispatch_or_isolate(now, tracked, endpoint)
         return out
 
-    def _by_oldest(self, endpoint: Endpoint) -> list[ModelState]:
+    def _models_by_oldest(self, endpoint: Endpoint) -> list[ModelState]:
         """Return its models with a queue, the longest waiting first.
 
         In a fixed order the first model would starve the others of an
@@ -230,70 +234,72 @@
             key=lambda state: (state.queue[0].since_ms, state.queue[0].seq),
         )
 
-    def _ask(self, now: int, tracked: Tracked) -> Ask:
+    def _routing_query(
+        self, now: int, tracked: TrackedRequest
+    ) -> RoutingQuery:
         request = tracked.request
         over = self._state.in_flight.is_over(request.caller)
-        return Ask(now, request, tracked.avoid, over)
+        return RoutingQuery(now, request, tracked.avoid, over)
 
-    def _next_for(
+    def _next_request_for(
         self, now: int, state: ModelState, endpoint: Endpoint
-    ) -> Tracked | None:
+    ) -> TrackedRequest | None:
         if not endpoint.can_take(now):
             return None
         queue = state.queue
         first = state.discipline.next_index(queue)
         choice = None
-        for index in range(first, min(len(queue), first + _LOOK_AHEAD)):
+        for index in range(first, min(len(queue), first + _LOOKAHEAD)):
             tracked = self._state.tracked_by_id[queue[index].request_id]
-            ask = self._ask(now, tracked)
-            if not ask.can_use(endpoint):
+            query = self._routing_query(now, tracked)
+            if not query.can_use(endpoint):
                 continue
             if choice is None:
                 choice = tracked
-                if tracked.overtaken >= _OVERTAKEN_MAX:
+                if tracked.times_overtaken >= _MAX_OVERTAKES:
                     break
-            if self._state.router.holds(ask, endpoint):
+            if self._state.router.holds(query, endpoint):
                 if tracked is not choice:
-                    choice.overtaken += 1
+                    choice.times_overtaken += 1
                 return tracked
         return choice
 
-    def pump_all(self, now: int) -> list[Decision]:
+    def dispatch_waiting(self, now: int) -> list[Decision]:
         """Send what waits wherever there is room."""
         out: list[Decision] = []
         for state in self._state.state_by_model.values():
-            out += self._pump_model(now, state)
-        return out + self.pump_suspects(now)
+            out += self._dispatch_model(now, state)
+        return out + self.dispatch_suspects(now)
 
-    def _pump_model(self, now: int, state: ModelState) -> list[Decision]:
+    def _dispatch_model(self, now: int, state: ModelState) -> list[Decision]:
         out: list[Decision] = []
         passed = 0
-        while passed < min(len(state.queue), _LOOK_AHEAD):
+        while passed < min(len(state.queue), _LOOKAHEAD):
             index = state.discipline.next_index(state.queue) + passed
             if index >= len(state.queue):
                 break
             waiting = state.queue[index]
             tracked = self._state.tracked_by_id[waiting.request_id]
-            ask = self._ask(now, tracked)
-            endpoint = self._state.router.choose(ask)
+            query = self._routing_query(now, tracked)
+            endpoint = self._state.router.choose(query)
             if endpoint is not None:
-                out += self._send_or_isolate(now, tracked, endpoint)
-            elif ask.over_share or ask.avoid:
+                out += self._dispatch_or_isolate(now, tracked, endpoint)
+            elif query.over_share or query.avoid:
                 # What it may not use may do for one behind it.
                 passed += 1
             else:
                 break
         return out
 
-    def _send_or_isolate(
-        self, now: int, tracked: Tracked, endpoint: Endpoint
+    def _dispatch_or_isolate(
+        self, now: int, tracked: TrackedRequest, endpoint: Endpoint
     ) -> list[Decision]:
         fingerprint = tracked.request.fingerprint
         if self._state.suspects.is_suspect(now, fingerprint):
-            return self._to_lane(now, tracked)
+            return self._isolate(now, tracked)
         return [self._dispatch(now, tracked, endpoint)]
 
-    def _to_lane(self, now: int, tracked: Tracked) -> list[Decision]:
+    def _isolate(self, now: int, tracked: TrackedRequest) -> list[Decision]:
         if tracked.waiting is not None:
             self._state.model(tracked.request.model).queue.remove(
                 tracked.waiting
@@ -303,53 +309,55 @@
         tracked.suspect_since_ms = now
         # It starts with the next tick: of several that one crash made
         # suspect, the smallest can go first only once all are here.
-        self._state.lane.add(tracked)
+        self._state.suspect_queue.add(tracked)
         return []
 
-    def pump_suspects(self, now: int) -> list[Decision]:
+    def dispatch_suspects(self, now: int) -> list[Decision]:
         """Start the next suspect when none runs."""
-        for tracked in self._state.lane.waiting_when_free():
+        for tracked in self._state.suspect_queue.startable():
             fingerprint = tracked.request.fingerprint
             if not self._state.suspects.is_suspect(now, fingerprint):
                 # A resend of it ran to its end meanwhile.
-                self._state.lane.discard(tracked.request.request_id)
-                return self.place(now, tracked) + self.pump_suspects(now)
-            endpoint = self._quarantine(now, tracked.request)
+                self._state.suspect_queue.discard(tracked.request.request_id)
+                return self.place(now, tracked) + self.dispatch_suspects(now)
+            endpoint = self._quarantine_endpoint(now, tracked.request)
             if endpoint is not None:
-                self._state.lane.start(tracked)
+                self._state.suspect_queue.start(tracked)
                 return [self._dispatch(now, tracked, endpoint, alone=True)]
         return []
 
-    def _quarantine(self, now: int, request: OnlineRequest) -> Endpoint | None:
+    def _quarantine_endpoint(
+        self, now: int, request: OnlineRequest
+    ) -> Endpoint | None:
         """Return the one endpoint on which suspects of a model run.
 
         It is chosen by its fixed rank, so that all entries take the same
         one, and stays the same while suspects wait.
         """
         serving = self._state.fleet.serving(request.model)
-        kept = self._state.lane.endpoint
+        kept = self._state.suspect_queue.endpoint
         if kept is None or kept not in serving or not kept.can_isolate(now):
             kept = min(
                 (e for e in serving if e.can_isolate(now)),
-                key=lambda e: e.seed,
+                key=lambda e: e.id_hash,
                 default=None,
             )
-        self._state.lane.endpoint = kept
+        self._state.suspect_queue.endpoint = kept
         return kept
 
-    def drop_convicted(
+    def refuse_convicted(
         self, now: int, fingerprint: Fingerprint
     ) -> list[Decision]:
         """Give up what waits with a convicted fingerprint."""
-        hit = [
+        waiting = [
             tracked
             for tracked in self._state.tracked_by_id.values()
             if tracked.request.fingerprint == fingerprint
             and tracked.phase is not Phase.RUNNING
         ]
-        return [self.give_up(t, ErrorKind.CONVICTED, None) for t in hit]
+        return [self.refuse(t, ErrorKind.CONVICTED, None) for t in waiting]
 
-    def strand(self, now: int) -> list[Decision]:
+    def refuse_unserved(self, now: int) -> list[Decision]:
         """Give up what waits for a model that no endpoint holds now."""
         out: list[Decision] = []
         for model, state in self._state.state_by_model.items():
@@ -358,8 +366,8 @@
             waiting = [
                 self._state.tracked_by_id[w.request_id] for w in state.queue
             ]
-            waiting += self._state.lane.of_model(model)
+            waiting += self._state.suspect_queue.waiting_for(model)
             for tracked in waiting:
                 after = state.retry_after(now, 0, self._state.rng)
-                out.append(self.give_up(tracked, ErrorKind.NO_ENDPOINT, after))
+                out.append(self.refuse(tracked, ErrorKind.NO_ENDPOINT, after))
         return out
--- a/dahliashunt/decisions/drain.py
+++ b/dahliashunt/decisions/drain.py
@@ -28,12 +28,12 @@
 
 # Answers of one endpoint differ by an order of magnitude; this follows a
 # change of mix within some tens of answers.
-_KEEP = 0.95
+_DECAY = 0.95
 _ANSWER_PRIOR_TOKENS = 150.0
 _PRIOR_ANSWERS = 4.0
 _JITTER = 0.5
 # Standard deviations; 5 of 100 waits are longer.
-_SURE = 1.65
+_WAIT_QUANTILE = 1.65
 
 
 class Drain:
@@ -58,8 +58,8 @@
 
     def answered(self) -> None:
         """Learn that an online answer ended."""
-        self._tokens *= _KEEP
-        self._answers = self._answers * _KEEP + 1
+        self._tokens *= _DECAY
+        self._answers = self._answers * _DECAY + 1
 
     @property
     def answer_tokens(self) -> float:
@@ -78,7 +78,7 @@
         start in time nearly always; one that was let wait goes on as long
         as it is likely to.
         """
-        spread = 0.0 if admitted else _SURE * place**0.5
+        spread = 0.0 if admitted else _WAIT_QUANTILE * place**0.5
         return (place + spread) * gap_ms
 
     def retry_after_ms(self, now: int, waiting: int, gap_ms: float) -> int:
--- a/dahliashunt/decisions/endpoint.py
+++ b/dahliashunt/decisions/endpoint.py
@@ -13,7 +13,7 @@
 
 __all__ = ["Endpoint", "EndpointState"]
 
-_KEEP_FREE_FROM = 4
+_RESERVE_MIN_LIMIT = 4
 """Limit from which places are kept for callers under their share.
 
 Each of several entries has its part of an endpoint's places: three before
@@ -21,7 +21,7 @@
 them would keep a place.
 """
 
-_KEEP_FREE = 0.1
+_RESERVED_FRACTION = 0.1
 """Part of the places that is kept for them, one at least."""
 
 
@@ -59,10 +59,10 @@
     data_centre: DataCentreId
     models: frozenset[ModelId]
     limit: object
-    seed: int
+    id_hash: int
     sent_ms_by_request: dict[RequestId, int] = field(default_factory=dict)
     state: EndpointState = EndpointState.UP
-    others: float = 0.0
+    external_load: float = 0.0
     reported_ms: int | None = None
     first_token_ms: float = 0.0
     sampled_ms: int = 0
@@ -77,7 +77,7 @@
     pending_tokens: float = 0.0
     gone_ms: int = 0
     loss: Loss | None = None
-    blamed: set[Fingerprint] = field(default_factory=set)
+    crash_counted: set[Fingerprint] = field(default_factory=set)
 
     @property
     def in_flight(self) -> int:
@@ -112,8 +112,8 @@
             return False
         if self.state is EndpointState.UP:
             used = len(self.sent_ms_by_request)
-            if over_share and self.limit.value >= _KEEP_FREE_FROM:
-                used += max(1.0, self.limit.value * _KEEP_FREE)
+            if over_share and self.limit.value >= _RESERVE_MIN_LIMIT:
+                used += max(1.0, self.limit.value * _RESERVED_FRACTION)
             return self.limit.has_room(used) and self.limit.in_time(
                 self.pending_ms
             )
--- a/dahliashunt/decisions/entry.py
+++ b/dahliashunt/decisions/entry.py
@@ -36,7 +36,7 @@
 from dahliashunt.decisions.refusals import MESSAGE_BY_KIND
 from dahliashunt.decisions.suspects import Conviction
 from dahliashunt.decisions.tracked import Phase
-from dahliashunt.decisions.tracked import Tracked
+from dahliashunt.decisions.tracked import TrackedRequest
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import Ran
 from dahliashunt.ids import CallerId
@@ -86,12 +86,12 @@
         limits = self._state.limits.get(request.caller)
         state = self._state.model(request.model)
         cost = state.cost(request.prompt_tokens, request.max_tokens)
-        tracked = Tracked(request, cost, limits.weight)
+        tracked = TrackedRequest(request, cost, limits.weight)
         if limits.tokens_a_second is not None:
             output = state.output(request.max_tokens)
-            tracked.taken = max(1.0, request.prompt_tokens + output)
+            tracked.charged_tokens = max(1.0, request.prompt_tokens + output)
             after = self._state.buckets.take(
-                now, request.caller, tracked.taken, limits
+                now, request.caller, tracked.charged_tokens, limits
             )
             if after:
                 return [self._refuse(request, ErrorKind.OVER_LIMIT, after)]
@@ -105,11 +105,11 @@
         if tracked is None or tracked.first_token or not tracked.endpoint:
             return []
         tracked.first_token = True
-        self._dispatcher.not_pending(tracked)
+        self._dispatcher.prefill_done(tracked)
         if tracked.alone:
             return []
         self._ends.learn_first_token(now, tracked)
-        return self._dispatcher.pump_endpoint(now, tracked.endpoint)
+        return self._dispatcher.fill_endpoint(now, tracked.endpoint)
 
     def tokens(self, now: int, request_id: RequestId, count: int) -> None:
         """Note progress of a request."""
@@ -148,9 +148,9 @@
         tracked.tokens = max(tracked.tokens, tokens)
         out: list[Decision] = []
         if end is AttemptEnd.CRASHED:
-            out += self._ends.blame(now, tracked, alongside)
+            out += self._ends.count_crash(now, tracked, alongside)
         elif end is AttemptEnd.UNKNOWN:
-            out += self._ends.blame_lost(now, tracked)
+            out += self._ends.count_loss(now, tracked)
         self._dispatcher.release(tracked)
         if end is AttemptEnd.DONE:
             self._ends.done(now, tracked)
@@ -158,13 +158,13 @@
             self._ends.note_failure(
                 now, endpoint, end, retry_after_ms, tracked.alone
             )
-            out += self._ends.again(
+            out += self._ends.retry_or_answer(
                 now, tracked, end, retry_after_ms, delivered
             )
         if tracked.alone:
             # The next suspect first, or other work fills the endpoint.
-            out += self._dispatcher.pump_suspects(now)
-        return out + self._dispatcher.pump_endpoint(now, endpoint)
+            out += self._dispatcher.dispatch_suspects(now)
+        return out + self._dispatcher.fill_endpoint(now, endpoint)
 
     def caller_gone(self, now: int, request_id: RequestId) -> list[Decision]:
         """Note that nobody waits for the request any more."""
@@ -190,8 +190,8 @@
     def endpoint_up(self, now: int, info: EndpointInfo) -> list[Decision]:
         """Start to use an endpoint."""
         self._now = now
-        self._state.fleet.up(now, info)
-        return self._dispatcher.pump_all(now)
+        self._state.fleet.add_endpoint(now, info)
+        return self._dispatcher.dispatch_waiting(now)
 
     def report(self, now: int, report: EndpointReport) -> list[Decision]:
         """Take an agent's report."""
@@ -201,20 +201,22 @@
         )
         if not self._state.fleet.report(now, report):
             return []
-        return self._dispatcher.strand(now) + self._dispatcher.pump_all(now)
+        return self._dispatcher.refuse_unserved(
+            now
+        ) + self._dispatcher.dispatch_waiting(now)
 
     def endpoint_gone(
         self, now: int, endpoint_id: EndpointId, loss: Loss
     ) -> list[Decision]:
         """Stop using an endpoint; what is in flight there ends by itself."""
         self._now = now
-        endpoint = self._state.fleet.gone(now, endpoint_id, loss)
+        endpoint = self._state.fleet.mark_gone(now, endpoint_id, loss)
         if endpoint is None:
             return []
-        self._state.prefixes.gone(endpoint_id)
-        return self._dispatcher.strand(now) + self._dispatcher.pump_suspects(
+        self._state.prefixes.forget_endpoint(endpoint_id)
+        return self._dispatcher.refuse_unserved(
             now
-        )
+        ) + self._dispatcher.dispatch_suspects(now)
 
     def convicted(
         self, now: int, fingerprint: Fingerprint, for_ms: int
@@ -222,7 +224,7 @@
         """Take a conviction from another entry."""
         self._now = now
         self._state.suspects.convict(now, fingerprint, for_ms)
-        return self._dispatcher.drop_convicted(now, fingerprint)
+        return self._dispatcher.refuse_convicted(now, fingerprint)
 
     def new_convictions(self) -> list[Conviction]:
         """Return the convictions to be shared, and forget them."""
@@ -242,23 +244,23 @@
         """Turn away what is hopeless by now; probe ejected endpoints."""
         self._now = now
         out: list[Decision] = []
-        self._state.fleet.probe_back(now)
+        self._state.fleet.start_probes(now)
         for state in self._state.state_by_model.values():
             if not len(state.queue):
                 continue
             drain = state.drain()
             for waiting in state.discipline.hopeless(now, state.queue, drain):
                 tracked = self._state.tracked_by_id[waiting.request_id]
-                out.append(self._dispatcher.turn_away(now, tracked))
-        for tracked in self._state.lane.overdue(
+                out.append(self._dispatcher.refuse_overloaded(now, tracked))
+        for tracked in self._state.suspect_queue.overdue(
             now, self._state.policy.suspect_wait_ms
         ):
-            out.append(self._dispatcher.turn_away(now, tracked))
-        return out + self._dispatcher.pump_all(now)
+            out.append(self._dispatcher.refuse_overloaded(now, tracked))
+        return out + self._dispatcher.dispatch_waiting(now)
 
     def wake_ms(self) -> int | None:
         """Return when `tick` is next useful."""
-        if len(self._state.lane) or any(
+        if len(self._state.suspect_queue) or any(
             len(state.queue) for state in self._state.state_by_model.values()
         ):
             return self._now + self._state.policy.tick_ms
@@ -269,7 +271,7 @@
         states = self._state.state_by_model
         return EntryStatus(
             in_flight=sum(state.in_flight for state in states.values()),
-            suspects_waiting=len(self._state.lane),
+            suspects_waiting=len(self._state.suspect_queue),
             waiting_by_model={m: len(s.queue) for m, s in states.items()},
             endpoints=tuple(
                 EndpointStatus(
--- a/dahliashunt/decisions/entry_state.py
+++ b/dahliashunt/decisions/entry_state.py
@@ -14,9 +14,9 @@
 from dahliashunt.decisions.prefix import PrefixIndex
 from dahliashunt.decisions.retry import RetryBudget
 from dahliashunt.decisions.routing import Router
-from dahliashunt.decisions.suspects import SuspectLane
+from dahliashunt.decisions.suspects import SuspectQueue
 from dahliashunt.decisions.suspects import Suspects
-from dahliashunt.decisions.tracked import Tracked
+from dahliashunt.decisions.tracked import TrackedRequest
 from dahliashunt.errors import ErrorKind
 from dahliashunt.ids import DataCentreId
 from dahliashunt.ids import EndpointId
@@ -73,8 +73,8 @@
         self.in_flight = InFlight(policy.over_share)
         self.budget = RetryBudget(policy)
         self.suspects = Suspects(policy)
-        self.lane = SuspectLane()
-        self.tracked_by_id: dict[RequestId, Tracked] = {}
+        self.suspect_queue = SuspectQueue()
+        self.tracked_by_id: dict[RequestId, TrackedRequest] = {}
         self.state_by_model: dict[ModelId, ModelState] = {}
         self.refused_by_kind: Counter[ErrorKind] = Counter()
         self.sequence = 0
--- a/dahliashunt/decisions/fleet.py
+++ b/dahliashunt/decisions/fleet.py
@@ -13,8 +13,8 @@
 endpoints may be out, for failures that all share say nothing about one.
 A crash ejects without regard to that part: a crashed engine is down.
 
-An endpoint that is gone comes back with `Fleet.up`; a crashed one also
-with a newer report that lists models, since its agent lived on.
+A gone endpoint comes back with `Fleet.add_endpoint`; a crashed one also with
+a newer report that lists models, since its agent is still running.
 """
 
 from heapq import nlargest
@@ -33,19 +33,19 @@
 
 __all__ = ["OVERHEAD_TOKENS", "Fleet"]
 
-_LEARN = 0.2
+_EWMA_WEIGHT = 0.2
 """Weight of one new sample in a moving average."""
 
-_LEARN_FLEET = 0.05
+_FLEET_EWMA_WEIGHT = 0.05
 """The same for a mean over all endpoints."""
 
 OVERHEAD_TOKENS = 300
 """What a first token costs besides its prompt: hops and one step."""
 
-_RANKED_MAX = 4_096
+_RANKING_CACHE_SIZE = 4_096
 """Prefixes whose rank is remembered."""
 
-_FORGET_MS = 600_000
+_GONE_RETENTION_MS = 600_000
 """How long a crashed endpoint is waited for."""
 
 
@@ -60,12 +60,12 @@
         self._remote_by_model: dict[ModelId, list[Endpoint]] = {}
         self._all_by_model: dict[ModelId, list[Endpoint]] = {}
         self._ranked_by_key: dict[tuple[ModelId, int], list[Endpoint]] = {}
-        self.others_mean = 0.0
+        self.mean_external_load = 0.0
         self.limit_mean = float(policy.limit_initial)
         self.in_flight = 0
         self.probing_by_id: dict[EndpointId, Endpoint] = {}
 
-    def up(self, now: int, info: EndpointInfo) -> Endpoint:
+    def add_endpoint(self, now: int, info: EndpointInfo) -> Endpoint:
         """Add an endpoint, or bring one back with a clean slate."""
         old = self.by_id.get(info.endpoint_id)
         endpoint = Endpoint(
@@ -83,7 +83,7 @@
         self._index()
         return endpoint
 
-    def gone(
+    def mark_gone(
         self, now: int, endpoint_id: EndpointId, loss: Loss
     ) -> Endpoint | None:
         """Give an endpoint no more work."""
@@ -94,7 +94,7 @@
         endpoint.gone_ms = now
         endpoint.loss = loss
         self.probing_by_id.pop(endpoint.endpoint_id, None)
-        self._forget_long_gone(now)
+        self._purge_gone(now)
         self._index()
         return endpoint
 
@@ -126,7 +126,7 @@
             info = EndpointInfo(
                 endpoint.endpoint_id, endpoint.data_centre, report.models
             )
-            self.up(now, info)
+            self.add_endpoint(now, info)
             return True
         if endpoint.reported_ms is not None and at < endpoint.reported_ms:
             return False
@@ -142,10 +142,10 @@
             1 for sent in endpoint.sent_ms_by_request.values() if sent <= at
         )
         load = report.running_online + report.waiting_online
-        endpoint.others = float(max(0, load - own))
+        endpoint.external_load = float(max(0, load - own))
         endpoint.reported_ms = at
-        off = endpoint.others - self.others_mean
-        self.others_mean += _LEARN_FLEET * off
+        deviation = endpoint.external_load - self.mean_external_load
+        self.mean_external_load += _FLEET_EWMA_WEIGHT * deviation
         return self._set_models(endpoint, report.models)
 
     def serving(self, model: ModelId) -> list[Endpoint]:
@@ -161,9 +161,9 @@
         known = self._ranked_by_key.get((model, key))
         if known is None:
             serving = self.serving(model)
-            if len(self._ranked_by_key) >= _RANKED_MAX:
+            if len(self._ranked_by_key) >= _RANKING_CACHE_SIZE:
                 self._ranked_by_key.clear()
-            known = nlargest(2, serving, key=lambda e: hash((e.seed, key)))
+            known = nlargest(2, serving, key=lambda e: hash((e.id_hash, key)))
             self._ranked_by_key[(model, key)] = known
         return known
 
@@ -184,8 +184,8 @@
         reported = endpoint.reported_ms
         stale = self._policy.report_stale_ms
         if reported is None or now - reported > stale:
-            return len(endpoint.sent_ms_by_request) + self.others_mean
-        return len(endpoint.sent_ms_by_request) + endpoint.others
+            return len(endpoint.sent_ms_by_request) + self.mean_external_load
+        return len(endpoint.sent_ms_by_request) + endpoint.external_load
 
     def first_token(
         self,
@@ -197,13 +197,15 @@
     ) -> None:
         """Learn from a first token, sent with `ahead` tokens pending."""
         speed = ms / (ahead + OVERHEAD_TOKENS)
-        endpoint.ms_per_token += _LEARN * (speed - endpoint.ms_per_token)
+        endpoint.ms_per_token += _EWMA_WEIGHT * (speed - endpoint.ms_per_token)
         endpoint.limit.sample(now, ms, target_ms, endpoint.in_flight)
         old = endpoint.first_token_ms
-        endpoint.first_token_ms = old + _LEARN * (ms - old) if old else ms
+        endpoint.first_token_ms = (
+            old + _EWMA_WEIGHT * (ms - old) if old else ms
+        )
         endpoint.sampled_ms = now
-        off = endpoint.limit.value - self.limit_mean
-        self.limit_mean += _LEARN_FLEET * off
+        deviation = endpoint.limit.value - self.limit_mean
+        self.limit_mean += _FLEET_EWMA_WEIGHT * deviation
 
     def succeeded(self, endpoint: Endpoint) -> None:
         """Note an attempt that ended well."""
@@ -220,7 +222,7 @@
         many = endpoint.failures >= self._policy.eject_failures
         if endpoint.state is EndpointState.GONE or not (probing or many):
             return
-        if probing or self._may_eject(endpoint):
+        if probing or self._ejection_allowed(endpoint):
             self._eject(now, endpoint)
 
     def crashed(self, now: int, endpoint: Endpoint) -> None:
@@ -228,7 +230,7 @@
         if endpoint.state is not EndpointState.GONE:
             self._eject(now, endpoint)
 
-    def probe_back(self, now: int) -> None:
+    def start_probes(self, now: int) -> None:
         """Put ejected endpoints whose time is over on probe."""
         for endpoint in self.by_id.values():
             if (
@@ -236,7 +238,7 @@
                 and endpoint.ejected_until_ms <= now
             ):
                 endpoint.state = EndpointState.PROBING
-                endpoint.blamed = set()
+                endpoint.crash_counted = set()
                 self.probing_by_id[endpoint.endpoint_id] = endpoint
 
     def next_probe_ms(self) -> int | None:
@@ -250,22 +252,22 @@
             default=None,
         )
 
-    def _forget_long_gone(self, now: int) -> None:
+    def _purge_gone(self, now: int) -> None:
         # Crashed ones are kept for a report that brings them back; ids
         # of replaced instances must not pile up.
         for endpoint in list(self.by_id.values()):
             if (
                 endpoint.state is EndpointState.GONE
-                and now - endpoint.gone_ms > _FORGET_MS
+                and now - endpoint.gone_ms > _GONE_RETENTION_MS
                 and not endpoint.in_flight
             ):
                 del self.by_id[endpoint.endpoint_id]
 
-    def _may_eject(self, endpoint: Endpoint) -> bool:
+    def _ejection_allowed(self, endpoint: Endpoint) -> bool:
         for model in endpoint.models:
-            all_of_it = self.serving(model)
-            out = sum(1 for e in all_of_it if e.state is not EndpointState.UP)
-            if out + 1 > self._policy.eject_part * len(all_of_it):
+            serving = self.serving(model)
+            out = sum(1 for e in serving if e.state is not EndpointState.UP)
+            if out + 1 > self._policy.eject_part * len(serving):
                 return False
         return True
 
--- a/dahliashunt/decisions/placement.py
+++ b/dahliashunt/decisions/placement.py
@@ -119,8 +119,8 @@
         self._bucket.refill(now, weight_rate_bytes_s)
         gaps = []
         for demand in wanted:
-            have = plan.replicas(demand.model)
-            target = self._targets.target(now, demand, have)
+            replicas = plan.replicas(demand.model)
+            target = self._targets.target(now, demand, replicas)
             gaps.append((demand, target))
             self._remove(plan, demand, target)
         # Below the floor first: those callers get errors, others wait.
--- a/dahliashunt/decisions/prefix.py
+++ b/dahliashunt/decisions/prefix.py
@@ -56,9 +56,9 @@
     Examples
     --------
     >>> index = PrefixIndex(sent_ms=30_000, total=100, report_ms=0)
-    >>> index.sent(0, "a", (1, 2))
-    >>> index.sent(0, "b", (1,))
-    >>> index.depths(10, (1, 2, 3))
+    >>> index.record_dispatch(0, "a", (1, 2))
+    >>> index.record_dispatch(0, "b", (1,))
+    >>> index.cached_depths(10, (1, 2, 3))
     {'a': 2, 'b': 1}
     """
 
@@ -71,7 +71,7 @@
         self._sent_by_id: dict[EndpointId, dict[int, None]] = {}
         self._next_report_ms_by_id: dict[EndpointId, int] = {}
 
-    def sent(
+    def record_dispatch(
         self, now: int, endpoint_id: EndpointId, keys: tuple[int, ...]
     ) -> None:
         """Note that a prompt with `keys` went to the endpoint."""
@@ -89,7 +89,7 @@
                 holders[endpoint_id] = until
                 sent.pop(key, None)
             sent[key] = None
-        for _ in range(len(sent) - self._each()):
+        for _ in range(len(sent) - self._quota_per_endpoint()):
             key = next(iter(sent))
             del sent[key]
             self._forget(key, endpoint_id)
@@ -102,8 +102,8 @@
             return
         self._next_report_ms_by_id[endpoint_id] = now + self._report_ms
         old = self._reported_by_id.get(endpoint_id, frozenset())
-        if len(cached) > self._each():
-            cached = frozenset(sorted(cached)[: self._each()])
+        if len(cached) > self._quota_per_endpoint():
+            cached = frozenset(sorted(cached)[: self._quota_per_endpoint()])
         self._reported_by_id[endpoint_id] = cached
         for key in old - cached:
             self._forget(key, endpoint_id)
@@ -112,7 +112,7 @@
             sent.pop(key, None)
             self._holders_by_key.setdefault(key, {})[endpoint_id] = None
 
-    def gone(self, endpoint_id: EndpointId) -> None:
+    def forget_endpoint(self, endpoint_id: EndpointId) -> None:
         """Forget an endpoint, whose cache goes with it."""
         self._next_report_ms_by_id.pop(endpoint_id, None)
         for key in self._reported_by_id.pop(endpoint_id, ()):
@@ -120,7 +120,9 @@
         for key in self._sent_by_id.pop(endpoint_id, {}):
             self._forget(key, endpoint_id)
 
-    def depths(self, now: int, keys: tuple[int, ...]) -> dict[EndpointId, int]:
+    def cached_depths(
+        self, now: int, keys: tuple[int, ...]
+    ) -> dict[EndpointId, int]:
         """Return how many of `keys` each holder has, deepest first."""
         depth_by_id: dict[EndpointId, int] = {}
         for depth in _depths(len(keys)):
@@ -134,7 +136,7 @@
                     depth_by_id[endpoint_id] = depth
         return depth_by_id
 
-    def held_part(
+    def cached_fraction(
         self, now: int, endpoint_id: EndpointId, keys: tuple[int, ...]
     ) -> float:
         """Return which part of a prompt with `keys` is cached there."""
@@ -149,9 +151,11 @@
     def __len__(self) -> int:
         return len(self._holders_by_key)
 
-    def _each(self) -> int:
-        known = max(len(self._sent_by_id), len(self._reported_by_id), 1)
-        return self._total // (2 * known)
+    def _quota_per_endpoint(self) -> int:
+        endpoint_count = max(
+            len(self._sent_by_id), len(self._reported_by_id), 1
+        )
+        return self._total // (2 * endpoint_count)
 
     def _forget(self, key: int, endpoint_id: EndpointId) -> None:
         holders = self._holders_by_key.get(key)
--- a/dahliashunt/decisions/retry.py
+++ b/dahliashunt/decisions/retry.py
@@ -44,34 +44,36 @@
 
     def __init__(self, policy: EntryPolicy):
         self._policy = policy
-        self._fleet = policy.retry_reserve
+        self._fleet_balance = policy.retry_reserve
         # Only callers below their cap are here; the oldest go first.
         self._by_caller: dict[CallerId, float] = {}
 
     def succeeded(self, caller: CallerId) -> None:
         """Earn a part of a retry."""
         policy = self._policy
-        self._fleet = min(policy.retry_cap, self._fleet + policy.retry_ratio)
-        left = self._by_caller.get(caller)
-        if left is not None:
-            left += policy.caller_retry_ratio
-            if left >= policy.caller_retry_reserve:
+        self._fleet_balance = min(
+            policy.retry_cap, self._fleet_balance + policy.retry_ratio
+        )
+        balance = self._by_caller.get(caller)
+        if balance is not None:
+            balance += policy.caller_retry_ratio
+            if balance >= policy.caller_retry_reserve:
                 del self._by_caller[caller]
             else:
-                self._by_caller[caller] = left
+                self._by_caller[caller] = balance
 
     def take(self, caller: CallerId) -> bool:
         """Take one retry; False if there is none left."""
         policy = self._policy
-        left = self._by_caller.pop(caller, policy.caller_retry_reserve)
-        may = left >= 1 and self._fleet >= 1
-        if may:
-            left -= 1
-            self._fleet -= 1
-        self._by_caller[caller] = left
+        balance = self._by_caller.pop(caller, policy.caller_retry_reserve)
+        allowed = balance >= 1 and self._fleet_balance >= 1
+        if allowed:
+            balance -= 1
+            self._fleet_balance -= 1
+        self._by_caller[caller] = balance
         if len(self._by_caller) > policy.fingerprints_max:
             del self._by_caller[next(iter(self._by_caller))]
-        return may
+        return allowed
 
     def __len__(self) -> int:
         return len(self._by_caller)
--- a/dahliashunt/decisions/routing.py
+++ b/dahliashunt/decisions/routing.py
@@ -61,15 +61,15 @@
 from dahliashunt.decisions.registry import Registry
 from dahliashunt.ids import EndpointId
 
-__all__ = ["ROUTING", "Ask", "Router"]
+__all__ = ["ROUTING", "Router", "RoutingQuery"]
 
 ROUTING = Registry("routing policy")
 
-_HOMES = 2
+_MAX_HOLDERS = 2
 
 
 @dataclass(slots=True)
-class Ask:
+class RoutingQuery:
     """What is asked of the router.
 
     Attributes
@@ -107,52 +107,56 @@
         self.fleet = fleet
         self.prefixes = prefixes
         self.rng = rng
-        self.turn = 0
+        self.next_index = 0
         self._choose: Callable = ROUTING.get(policy.routing)
 
-    def choose(self, ask: Ask) -> Endpoint | None:
+    def choose(self, query: RoutingQuery) -> Endpoint | None:
         """Return where to send the request now, or None to let it wait.
 
         Endpoints on which it failed before are used only where no other
         endpoint holds the model.
         """
-        endpoint = self._probe(ask)
+        endpoint = self._probe(query)
         if endpoint is None:
-            endpoint = self._choose(self, ask)
-        if endpoint is not None or not ask.avoid:
+            endpoint = self._choose(self, query)
+        if endpoint is not None or not query.avoid:
             return endpoint
         if any(
-            e.endpoint_id not in ask.avoid
-            for e in self.fleet.serving(ask.request.model)
+            e.endpoint_id not in query.avoid
+            for e in self.fleet.serving(query.request.model)
         ):
             return None
-        return self._choose(self, replace(ask, avoid=frozenset()))
+        return self._choose(self, replace(query, avoid=frozenset()))
 
-    def _probe(self, ask: Ask) -> Endpoint | None:
+    def _probe(self, query: RoutingQuery) -> Endpoint | None:
         """Return an endpoint on probe; only idempotent requests probe."""
-        if not ask.request.may_repeat:
+        if not query.request.may_repeat:
             return None
         for endpoint in self.fleet.probing_by_id.values():
-            if ask.request.model in endpoint.models and ask.can_use(endpoint):
+            if query.request.model in endpoint.models and query.can_use(
+                endpoint
+            ):
                 return endpoint
         return None
 
-    def open_endpoints(self, ask: Ask) -> list[Endpoint]:
+    def open_endpoints(self, query: RoutingQuery) -> list[Endpoint]:
         """Return every endpoint that can take the request now."""
-        serving = self.fleet.serving(ask.request.model)
-        return [e for e in serving if ask.can_use(e)]
+        serving = self.fleet.serving(query.request.model)
+        return [e for e in serving if query.can_use(e)]
 
-    def holds(self, ask: Ask, endpoint: Endpoint) -> bool:
+    def holds(self, query: RoutingQuery, endpoint: Endpoint) -> bool:
         """Tell whether the endpoint has half of the prompt cached.
 
         Under saturation one endpoint at a time has room, and prefixes
         would be lost if it took whoever is first. Routing without
         affinity takes the first, and so does a prompt without keys.
         """
-        keys = ask.request.prefix_keys
+        keys = query.request.prefix_keys
         if not keys or self.policy.routing != "affinity":
             return True
-        held = self.prefixes.held_part(ask.now, endpoint.endpoint_id, keys)
+        held = self.prefixes.cached_fraction(
+            query.now, endpoint.endpoint_id, keys
+        )
         return held >= 0.5
 
     def cost(self, now: int, endpoint: Endpoint) -> float:
@@ -166,9 +170,9 @@
         load = self.fleet.load(now, endpoint) + 1
         limit = max(endpoint.limit.value, self.fleet.limit_mean)
         age = now - endpoint.sampled_ms
-        half = policy.slow_half_life_ms
-        cost = endpoint.first_token_ms * half / (half + age)
-        if age > 2 * half:
+        half_life = policy.slow_half_life_ms
+        cost = endpoint.first_token_ms * half_life / (half_life + age)
+        if age > 2 * half_life:
             # What is not used is not measured: a limit that once went
             # down would keep a healthy endpoint out for good.
             limit = max(limit, policy.limit_initial)
@@ -181,19 +185,19 @@
 
 
 @ROUTING.register("round_robin")
-def round_robin(router: Router, ask: Ask) -> Endpoint | None:
+def round_robin(router: Router, query: RoutingQuery) -> Endpoint | None:
     """Take each in turn: a baseline."""
-    endpoints = router.open_endpoints(ask)
+    endpoints = router.open_endpoints(query)
     if not endpoints:
         return None
-    router.turn += 1
-    return endpoints[router.turn % len(endpoints)]
+    router.next_index += 1
+    return endpoints[router.next_index % len(endpoints)]
 
 
 @ROUTING.register("least_in_flight")
-def least_in_flight(router: Router, ask: Ask) -> Endpoint | None:
+def least_in_flight(router: Router, query: RoutingQuery) -> Endpoint | None:
     """Take the one with the fewest own requests: a baseline."""
-    endpoints = router.open_endpoints(ask)
+    endpoints = router.open_endpoints(query)
     if not endpoints:
         return None
     least = min(e.in_flight for e in endpoints)
@@ -201,32 +205,38 @@
 
 
 @ROUTING.register("two_choices")
-def two_choices(router: Router, ask: Ask) -> Endpoint | None:
+def two_choices(router: Router, query: RoutingQuery) -> Endpoint | None:
     """Take the cheaper of two at random, near ones first."""
-    pool = [e for e in _random_some(router, ask.request) if ask.can_use(e)]
+    pool = [
+        e
+        for e in _random_candidates(router, query.request)
+        if query.can_use(e)
+    ]
     if not pool:
-        pool = router.open_endpoints(ask)
-    return min(pool, key=lambda e: router.cost(ask.now, e), default=None)
+        pool = router.open_endpoints(query)
+    return min(pool, key=lambda e: router.cost(query.now, e), default=None)
 
 
 @ROUTING.register("affinity")
-def affinity(router: Router, ask: Ask) -> Endpoint | None:
+def affinity(router: Router, query: RoutingQuery) -> Endpoint | None:
     """Weigh the cached part of the prompt against load.
 
     The pool is the holders of the longest prefixes, the homes of the
     prefix by rendezvous within the load bound, and some at random; the
     cheapest of the pool by predicted time to first token wins.
     """
-    request = ask.request
+    request = query.request
     keys = request.prefix_keys
-    depth_by_id = router.prefixes.depths(ask.now, keys) if keys else {}
-    pool = _random_some(router, request)
+    depth_by_id = (
+        router.prefixes.cached_depths(query.now, keys) if keys else {}
+    )
+    pool = _random_candidates(router, request)
     pool += _holders(router, request, depth_by_id)
     if keys:
-        pool += _homes(router, request)
-    pool = [e for e in dict.fromkeys(pool) if ask.can_use(e)]
+        pool += _home_endpoints(router, request)
+    pool = [e for e in dict.fromkeys(pool) if query.can_use(e)]
     if not pool:
-        pool = router.open_endpoints(ask)
+        pool = router.open_endpoints(query)
     if not pool:
         return None
     blocks = max(1, len(keys))
@@ -235,28 +245,30 @@
         held = depth_by_id.get(endpoint.endpoint_id, 0)
         prefill = request.prompt_tokens * (1 - held / blocks)
         prefill *= endpoint.ms_per_token
-        return router.cost(ask.now, endpoint) + prefill
+        return router.cost(query.now, endpoint) + prefill
 
     return min(pool, key=cost)
 
 
-def _random_some(router: Router, request: OnlineRequest) -> list[Endpoint]:
+def _random_candidates(
+    router: Router, request: OnlineRequest
+) -> list[Endpoint]:
     """Return two near endpoints and a far one, or all of a few."""
     fleet = router.fleet
     serving = fleet.serving(request.model)
     if len(serving) <= router.policy.few_endpoints:
         return list(serving)
-    some = []
-    for part, count in (
+    candidates = []
+    for group, count in (
         (fleet.local(request.model), 2),
         (fleet.remote(request.model), 1),
     ):
-        if len(part) <= count:
-            some += part
+        if len(group) <= count:
+            candidates += group
         else:
             for _ in range(count):
-                some.append(part[int(router.rng.random() * len(part))])
-    return some
+                candidates.append(group[int(router.rng.random() * len(group))])
+    return candidates
 
 
 def _holders(
@@ -269,12 +281,12 @@
         endpoint = router.fleet.by_id.get(endpoint_id)
         if endpoint is not None and request.model in endpoint.models:
             holders.append(endpoint)
-            if len(holders) == _HOMES:
+            if len(holders) == _MAX_HOLDERS:
                 break
     return holders
 
 
-def _homes(router: Router, request: OnlineRequest) -> list[Endpoint]:
+def _home_endpoints(router: Router, request: OnlineRequest) -> list[Endpoint]:
     """Return the homes of the prefix that are within the load bound."""
     fleet = router.fleet
     ranked = fleet.ranked(request.model, request.prefix_keys[0])
--- a/dahliashunt/decisions/suspects.py
+++ b/dahliashunt/decisions/suspects.py
@@ -33,12 +33,12 @@
 
 from dahliashunt.decisions.endpoint import Endpoint
 from dahliashunt.decisions.entry_policy import EntryPolicy
-from dahliashunt.decisions.tracked import Tracked
+from dahliashunt.decisions.tracked import TrackedRequest
 from dahliashunt.ids import Fingerprint
 from dahliashunt.ids import ModelId
 from dahliashunt.ids import RequestId
 
-__all__ = ["Conviction", "SuspectLane", "Suspects"]
+__all__ = ["Conviction", "SuspectQueue", "Suspects"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +105,7 @@
             del self._new[: -self._policy.fingerprints_max]
             return True
         self._suspicion_by[fingerprint] = suspicion
-        _bound(self._suspicion_by, self._policy.fingerprints_max)
+        _evict_oldest(self._suspicion_by, self._policy.fingerprints_max)
         if crashes >= 1:
             self._new_suspects.append(fingerprint)
             del self._new_suspects[: -self._policy.fingerprints_max]
@@ -116,14 +116,14 @@
         if fingerprint not in self._suspicion_by:
             until_ms = now + self._policy.suspect_for_ms
             self._suspicion_by[fingerprint] = _Suspicion(1, until_ms)
-            _bound(self._suspicion_by, self._policy.fingerprints_max)
+            _evict_oldest(self._suspicion_by, self._policy.fingerprints_max)
 
     def convict(self, now: int, fingerprint: Fingerprint, for_ms: int) -> None:
         """Refuse the fingerprint for a time."""
         self._suspicion_by.pop(fingerprint, None)
         self._convicted_until_by.pop(fingerprint, None)
         self._convicted_until_by[fingerprint] = now + for_ms
-        _bound(self._convicted_until_by, self._policy.fingerprints_max)
+        _evict_oldest(self._convicted_until_by, self._policy.fingerprints_max)
 
     def cleared(self, fingerprint: Fingerprint) -> None:
         """Note that it ran to its end and crashed nothing."""
@@ -162,7 +162,7 @@
         return new
 
 
-class SuspectLane:
+class SuspectQueue:
     """Suspects that wait to run alone, one at a time, small ones first.
 
     The smallest first: most suspects are innocent neighbours, and this
@@ -170,14 +170,14 @@
     """
 
     def __init__(self):
-        self._by_id: dict[RequestId, Tracked] = {}
+        self._by_id: dict[RequestId, TrackedRequest] = {}
         self.running: RequestId | None = None
         self.endpoint: Endpoint | None = None
 
     def __len__(self) -> int:
         return len(self._by_id)
 
-    def add(self, tracked: Tracked) -> None:
+    def add(self, tracked: TrackedRequest) -> None:
         """Let a suspect wait."""
         self._by_id[tracked.request.request_id] = tracked
 
@@ -185,22 +185,22 @@
         """Remove one if it waits here."""
         self._by_id.pop(request_id, None)
 
-    def start(self, tracked: Tracked) -> None:
+    def start(self, tracked: TrackedRequest) -> None:
         """Note that this one runs now."""
         self.discard(tracked.request.request_id)
         self.running = tracked.request.request_id
 
-    def waiting_when_free(self) -> list[Tracked]:
+    def startable(self) -> list[TrackedRequest]:
         """Return who may start, smallest first; nobody while one runs."""
         if self.running is not None:
             return []
         return sorted(self._by_id.values(), key=_size)
 
-    def of_model(self, model: ModelId) -> list[Tracked]:
+    def waiting_for(self, model: ModelId) -> list[TrackedRequest]:
         """Return those that wait for `model`."""
         return [t for t in self._by_id.values() if t.request.model == model]
 
-    def overdue(self, now: int, wait_ms: int) -> list[Tracked]:
+    def overdue(self, now: int, wait_ms: int) -> list[TrackedRequest]:
         """Return those that waited longer than `wait_ms`."""
         return [
             tracked
@@ -209,10 +209,10 @@
         ]
 
 
-def _size(tracked: Tracked) -> int:
+def _size(tracked: TrackedRequest) -> int:
     return tracked.request.prompt_tokens + tracked.request.max_tokens
 
 
-def _bound(table: dict, most: int) -> None:
-    if len(table) > most:
+def _evict_oldest(table: dict, limit: int) -> None:
+    if len(table) > limit:
         del table[next(iter(table))]
--- a/dahliashunt/decisions/tests/test_entry.py
+++ b/dahliashunt/decisions/tests/test_entry.py
@@ -19,13 +19,13 @@
     )  # fmt: skip
 
 
-def test_unknown_model_is_refused_with_a_time(make_entry, make_request):
+def test_unknown_model_is_refused_with_retry_after(make_entry, make_request):
     (out,) = make_entry().arrive(0, make_request(model="other"))
     assert (out.kind, out.ran) == (ErrorKind.NO_ENDPOINT, Ran.NO)
     assert out.retry_after_ms > 0
 
 
-def test_over_limit_says_exactly_when(make_entry, make_request):
+def test_over_limit_retry_after_is_exact(make_entry, make_request):
     entry = make_entry()
     limits = CallerLimits(tokens_a_second=1_000, burst_s=0.5)
     entry.set_limits(0, "c", limits)
@@ -42,7 +42,7 @@
     assert isinstance(sent, Dispatch)
 
 
-def test_refused_request_gives_its_tokens_back(make_entry, make_request):
+def test_refused_request_is_not_charged(make_entry, make_request):
     # The fleet is full. Refusals that use up a caller's hard limit would
     # lock it out after the overload, for work that was never done.
     entry = make_entry(("a1",), limit_initial=1, queue_length=0)
@@ -53,7 +53,7 @@
         assert out.kind is ErrorKind.OVERLOADED
 
 
-def test_hopeless_request_is_told_before_its_deadline(
+def test_request_that_cannot_start_in_time_is_refused_early(
     make_entry, make_request
 ):
     # A request waits behind one that does not end. Told at its deadline,
@@ -71,14 +71,16 @@
     assert now <= 2_000 - 300 + 20
 
 
-def test_any_name_of_a_model_is_not_remembered(make_entry, make_request):
+def test_unknown_models_leave_no_state(make_entry, make_request):
     entry = make_entry()
     for number in range(100):
         entry.arrive(0, make_request(model=f"no such model {number}"))
     assert len(entry.status().waiting_by_model) == 0
 
 
-def test_small_caller_passes_those_over_their_share(make_entry, make_request):
+def test_caller_under_its_share_overtakes_those_over_it(
+    make_entry, make_request
+):
     # One caller holds all places but the last and waits for that one too.
     # A newcomer under its share must not stand behind it for a tick.
     entry = make_entry(("a1",))
@@ -111,7 +113,7 @@
     assert served == ["r2", "r3", "r4", "r5", "r6", "r7"]
 
 
-def test_ended_hands_the_place_to_the_next(make_entry, make_request):
+def test_ended_attempt_frees_its_place_for_the_next(make_entry, make_request):
     entry = make_entry(("a1",), limit_initial=1)
     first, second = make_request(), make_request()
     entry.arrive(0, first)
@@ -121,7 +123,9 @@
     assert entry.status().in_flight == 1
 
 
-def test_not_run_goes_elsewhere_and_keeps_ran_no(make_entry, make_request):
+def test_not_run_is_retried_elsewhere_and_reports_ran_no(
+    make_entry, make_request
+):
     entry = make_entry(("a1", "a2"))
     request = make_request(may_repeat=False)
     (first,) = entry.arrive(0, request)
@@ -137,7 +141,7 @@
 @pytest.mark.parametrize(
     "end", [AttemptEnd.UNKNOWN, AttemptEnd.FAILED, AttemptEnd.CRASHED]
 )
-def test_a_stamp_that_may_have_run_is_not_sent_again(
+def test_non_idempotent_request_that_may_have_run_is_not_retried(
     make_entry, make_request, end
 ):
     # A title-release stamp was sent and its endpoint lost. Sent again it
@@ -150,7 +154,7 @@
     assert (out.ran, out.retry_after_ms) == (Ran.UNKNOWN, None)
 
 
-def test_half_an_answer_is_not_followed_by_another(make_entry, make_request):
+def test_partly_delivered_answer_is_not_retried(make_entry, make_request):
     entry = make_entry()
     request = make_request()
     entry.arrive(0, request)
@@ -172,7 +176,7 @@
     assert out[0].ran is Ran.UNKNOWN
 
 
-def test_retries_are_a_part_of_successes(make_entry, make_request):
+def test_retries_are_bounded_by_the_budget(make_entry, make_request):
     # Every endpoint fails. Retried without a budget, each request would
     # become four and keep a weak fleet down.
     entry = make_entry(limit="none", eject_part=0.0)
@@ -186,7 +190,7 @@
     assert runs == 210
 
 
-def test_leaving_endpoint_gets_no_more(make_entry, make_request):
+def test_leaving_endpoint_gets_no_new_requests(make_entry, make_request):
     entry = make_entry(("a1", "a2"))
     entry.endpoint_gone(0, "a1", Loss.LEAVING)
     sent = [entry.arrive(0, make_request())[0] for _ in range(4)]
@@ -196,7 +200,9 @@
     assert after.endpoint_id == "a2"
 
 
-def test_last_endpoint_gone_strands_nobody(make_entry, make_request):
+def test_waiting_requests_are_refused_when_the_last_endpoint_goes(
+    make_entry, make_request
+):
     entry = make_entry(("a1",), limit_initial=1)
     running, waiting = make_request(), make_request()
     entry.arrive(0, running)
@@ -238,14 +244,14 @@
     assert {d.request_id for d in out} == {bad.request_id, resend.request_id}
     assert {d.kind for d in out} == {ErrorKind.CONVICTED}
     assert all(d.retry_after_ms is None for d in out)
-    (told,) = entry.new_convictions()
-    assert told.fingerprint == "bad"
+    (conviction,) = entry.new_convictions()
+    assert conviction.fingerprint == "bad"
     assert entry.new_convictions() == []
     (out,) = entry.arrive(40, make_request(fingerprint="bad"))
     assert (out.kind, out.ran) == (ErrorKind.CONVICTED, Ran.NO)
 
 
-def test_innocent_beside_two_crashes_is_not_convicted(
+def test_request_running_beside_two_crashes_is_not_convicted(
     make_entry, make_request
 ):
     # A request is beside a crashing one twice, once at the agent of a
@@ -255,9 +261,9 @@
     good = make_request(fingerprint="good")
     entry.arrive(0, good)
     for now in (10, 50):
-        beside = ("bad", "good")
+        alongside = ("bad", "good")
         out = entry.ended(
-            now, good.request_id, AttemptEnd.CRASHED, alongside=beside
+            now, good.request_id, AttemptEnd.CRASHED, alongside=alongside
         )
         (again,) = out or entry.tick(now + 20)
         assert isinstance(again, Dispatch) and again.alone
@@ -269,7 +275,7 @@
     assert {d.endpoint_id for (d,) in sent} == {again.endpoint_id}
 
 
-def test_conviction_from_another_entry_reaches_what_waits(
+def test_conviction_from_another_entry_refuses_waiting_requests(
     make_entry, make_request
 ):
     entry = make_entry(("a1",), limit_initial=1)
@@ -283,7 +289,7 @@
     assert entry.arrive(1_006, late) == []
 
 
-def test_caller_gone_keeps_the_suspicion_and_frees_the_place(
+def test_request_of_a_gone_caller_still_becomes_suspect(
     make_entry, make_request
 ):
     # A caller hangs up on a request that then crashes the engine. If it
@@ -300,7 +306,7 @@
     assert out.alone
 
 
-def test_back_off_asked_by_an_agent_is_kept(make_entry, make_request):
+def test_back_off_requested_by_an_agent_is_honoured(make_entry, make_request):
     entry = make_entry(("a1",))
     request = make_request(first_token_by_ms=5_000)
     entry.arrive(0, request)
@@ -313,7 +319,7 @@
     assert entry.tick(550) == [Dispatch(request.request_id, "a1")]
 
 
-def test_memory_of_44_000_callers_is_bounded(make_entry, make_request):
+def test_state_of_idle_callers_is_discarded(make_entry, make_request):
     # Every workspace sends one request, 1,000 a second. What is kept of
     # each must go once it is idle, or an entry grows by all its callers.
     entry = make_entry(limit="none")
@@ -327,7 +333,9 @@
     assert entry.status().callers_remembered < 4_000
 
 
-def test_endpoint_up_again_keeps_what_is_known(make_entry, make_request):
+def test_repeated_endpoint_up_keeps_the_endpoint_state(
+    make_entry, make_request
+):
     entry = make_entry(("a1",), limit_initial=1)
     entry.arrive(0, make_request())
     entry.endpoint_up(1, EndpointInfo("a1", "a", frozenset({"m", "n"})))
--- a/dahliashunt/decisions/tests/test_entry_parts.py
+++ b/dahliashunt/decisions/tests/test_entry_parts.py
@@ -31,7 +31,7 @@
     made = Fleet(POLICY, "a")
     for number in range(9):
         info = EndpointInfo(f"e{number}", "a", frozenset({"m"}))
-        made.up(0, info)
+        made.add_endpoint(0, info)
     return made
 
 
@@ -41,7 +41,7 @@
     assert "by_deadline" in set(DISCIPLINES)
 
 
-def test_weights_share_in_proportion():
+def test_shares_are_proportional_to_weights():
     order = FairOrder()
     tags = [(order.tag(0, "big", 100, 3.0), "big") for _ in range(30)]
     tags += [(order.tag(0, "small", 100, 1.0), "small") for _ in range(30)]
@@ -49,7 +49,7 @@
     assert first.count("big") == 18
 
 
-def test_share_of_an_idle_caller_is_lent_and_not_saved_up():
+def test_idle_caller_accumulates_no_share():
     # One caller works alone for a while; then another comes. It must not
     # be served alone until it has caught up on what it never asked for.
     order = FairOrder()
@@ -71,7 +71,7 @@
     assert not in_flight.is_over("greedy")
 
 
-def test_request_larger_than_its_burst_goes_and_leaves_a_debt():
+def test_request_larger_than_the_burst_is_admitted_with_a_debt():
     buckets = Buckets()
     limits = CallerLimits(tokens_a_second=100, burst_s=1.0)
     assert buckets.take(0, "a", 500, limits) == 0
@@ -84,7 +84,7 @@
     return Waiting(tag, int(tag), f"r{tag}", since, by, 400)
 
 
-def test_hopeless_ones_leave_their_place_to_those_behind():
+def test_queue_drops_only_requests_that_cannot_start_in_time():
     queue = WaitingQueue()
     for tag, by in ((1, 1_000), (2, 250), (3, 420)):
         queue.push(waiting(tag, by))
@@ -93,7 +93,7 @@
     assert [w.request_id for w in gone] == ["r2"]
 
 
-def test_standing_queue_is_cut_short():
+def test_standing_queue_admits_only_short_waits():
     # The queue has not been empty for half a second: it adds wait to all
     # who come and no work. From now on only a short wait is let in.
     queue = WaitingQueue()
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("name", ["aimd", "gradient"])
-def test_limit_goes_down_while_late_and_up_while_used(name):
+def test_limit_falls_while_late_and_grows_while_used(name):
     limit = LIMITS.get(name)(POLICY)
     now = 0
     for _ in range(400):
@@ -131,7 +131,7 @@
     assert limit.value == POLICY.limit_initial
 
 
-def test_retry_after_grows_with_those_turned_away_and_is_spread():
+def test_retry_after_grows_with_refusals_and_is_jittered():
     # A thousand are refused at once. Told the same time, they come back
     # at once and are refused again.
     state = ModelState(EntryPolicy(default_service_ms=20))
@@ -144,7 +144,7 @@
     assert len(alike) > 40
 
 
-def test_calls_without_tokens_are_not_free():
+def test_calls_without_tokens_have_a_cost():
     # Plain services have no tokens. At no cost all callers would share a
     # place in the fair order, and who asks most would get most.
     assert ModelState(POLICY).cost(0, 0) > 0
@@ -160,15 +160,15 @@
     assert states.count(EndpointState.EJECTED) == 3
 
 
-def test_ejected_endpoint_is_probed_and_ejected_for_longer(fleet):
+def test_repeated_ejection_lasts_longer(fleet):
     endpoint = fleet.by_id["e0"]
     for _ in range(3):
         fleet.failed(0, endpoint)
-    fleet.probe_back(POLICY.eject_ms)
+    fleet.start_probes(POLICY.eject_ms)
     assert endpoint.state is EndpointState.PROBING
     fleet.failed(POLICY.eject_ms, endpoint)
     assert endpoint.ejected_until_ms == 3 * POLICY.eject_ms
-    fleet.probe_back(endpoint.ejected_until_ms)
+    fleet.start_probes(endpoint.ejected_until_ms)
     fleet.succeeded(endpoint)
     assert endpoint.state is EndpointState.UP
     assert not fleet.probing_by_id
@@ -191,15 +191,15 @@
     assert fleet.load(1_001, endpoint) == 2 + 4
 
 
-def test_silent_endpoint_counts_as_the_mean(fleet):
+def test_stale_report_is_replaced_by_the_fleet_mean(fleet):
     endpoint = fleet.by_id["e0"]
     fleet.report(0, report(0, running=0))
-    fleet.others_mean = 7.0
+    fleet.mean_external_load = 7.0
     assert fleet.load(100, endpoint) == 0
     assert fleet.load(POLICY.report_stale_ms + 1, endpoint) == 7.0
 
 
-def test_quarantined_endpoint_gets_nothing_until_the_report_is_old(fleet):
+def test_quarantine_lasts_until_the_report_is_stale(fleet):
     endpoint = fleet.by_id["e0"]
     fleet.report(0, report(0, running=1, quarantined=True))
     assert not endpoint.can_take(10)
@@ -209,28 +209,28 @@
 def test_prefixes_of_reports_and_of_dispatches():
     index = PrefixIndex(sent_ms=1_000, total=100, report_ms=0)
     keys = (1, 2, 3, 4)
-    index.sent(0, "a", keys)
+    index.record_dispatch(0, "a", keys)
     index.report(0, "b", frozenset({1, 2}))
-    assert index.depths(10, keys) == {"a": 4, "b": 2}
-    assert index.depths(1_001, keys) == {"b": 2}
+    assert index.cached_depths(10, keys) == {"a": 4, "b": 2}
+    assert index.cached_depths(1_001, keys) == {"b": 2}
     index.report(20, "b", frozenset({1}))
-    assert index.held_part(30, "b", keys) == 0.25
-    index.gone("a")
-    index.gone("b")
+    assert index.cached_fraction(30, "b", keys) == 0.25
+    index.forget_endpoint("a")
+    index.forget_endpoint("b")
     assert len(index) == 0
 
 
 def test_prefix_index_is_bounded():
     index = PrefixIndex(sent_ms=1_000, total=100, report_ms=0)
     for number in range(1_000):
-        index.sent(0, f"e{number % 3}", (number, number + 10**6))
+        index.record_dispatch(0, f"e{number % 3}", (number, number + 10**6))
         index.report(0, "e9", frozenset(range(number, number + 300)))
     assert len(index) <= 100
 
 
-def test_long_prompts_cost_few_steps():
+def test_long_prompts_add_few_index_entries():
     index = PrefixIndex(sent_ms=1_000, total=1_000, report_ms=0)
-    index.sent(0, "a", tuple(range(2_000)))
+    index.record_dispatch(0, "a", tuple(range(2_000)))
     assert len(index) < 25
 
 
@@ -258,7 +258,9 @@
     for number in range(100):
         suspects.crashed(0, f"f{number}", alone=False)
         suspects.convict(0, f"g{number}", 100)
-    held = [n for n in range(100) if suspects.is_suspect(1, f"f{n}")]
-    told = [n for n in range(100) if suspects.convicted_until(1, f"g{n}")]
-    assert held == told == list(range(90, 100))
+    suspicions = [n for n in range(100) if suspects.is_suspect(1, f"f{n}")]
+    convictions = [
+        n for n in range(100) if suspects.convicted_until(1, f"g{n}")
+    ]
+    assert suspicions == convictions == list(range(90, 100))
     assert len(suspects.take_new_suspects()) == 10
--- a/dahliashunt/decisions/tests/test_entry_random.py
+++ b/dahliashunt/decisions/tests/test_entry_random.py
@@ -17,10 +17,10 @@
 
 
 @dataclass
-class Fate:
+class RequestState:
     may_repeat: bool
     running: bool = False
-    over: bool = False
+    answered: bool = False
     may_have_run: bool = False
     gone: bool = False
 
@@ -33,23 +33,23 @@
         self.make_request = make_request
         self.rng = random.Random(seed)
         self.now = 0
-        self.fate_by_id: dict[str, Fate] = {}
+        self.state_by_id: dict[str, RequestState] = {}
 
     def check(self, out):
         for decision in out:
-            fate = self.fate_by_id[decision.request_id]
-            assert not fate.over and not fate.running and not fate.gone
+            state = self.state_by_id[decision.request_id]
+            assert not state.answered and not state.running and not state.gone
             if isinstance(decision, Dispatch):
-                assert fate.may_repeat or not fate.may_have_run
-                fate.running = True
+                assert state.may_repeat or not state.may_have_run
+                state.running = True
             else:
-                fate.over = True
+                state.answered = True
                 told_no = decision.ran is Ran.NO
-                assert told_no == (not fate.may_have_run)
+                assert told_no == (not state.may_have_run)
 
-    def some(self, running):
-        ids = [i for i, f in self.fate_by_id.items() if f.running == running]
-        ids = [i for i in ids if not self.fate_by_id[i].over]
+    def choose_request(self, running):
+        ids = [i for i, f in self.state_by_id.items() if f.running == running]
+        ids = [i for i in ids if not self.state_by_id[i].answered]
         return self.rng.choice(ids) if ids else None
 
     def arrive(self):
@@ -61,33 +61,33 @@
             prefix_keys=tuple(range(self.rng.randrange(5))),
             fingerprint=f"f{self.rng.randrange(40)}",
         )
-        self.fate_by_id[request.request_id] = Fate(may_repeat)
+        self.state_by_id[request.request_id] = RequestState(may_repeat)
         self.check(self.entry.arrive(self.now, request))
 
-    def end(self, how=None):
-        request_id = self.some(running=True)
+    def end_attempt(self, forced_end=None):
+        request_id = self.choose_request(running=True)
         if request_id is None:
             return
-        end = how or self.rng.choice(list(AttemptEnd))
-        fate = self.fate_by_id[request_id]
-        fate.running = False
-        fate.over = end is AttemptEnd.DONE or fate.gone
-        fate.may_have_run |= end is not AttemptEnd.NOT_RUN
-        after = self.rng.choice((None, 50)) if not how else None
-        beside = (f"f{self.rng.randrange(40)}",)
-        out = self.entry.ended(self.now, request_id, end, 9, after, beside)
+        end = forced_end or self.rng.choice(list(AttemptEnd))
+        state = self.state_by_id[request_id]
+        state.running = False
+        state.answered = end is AttemptEnd.DONE or state.gone
+        state.may_have_run |= end is not AttemptEnd.NOT_RUN
+        after = self.rng.choice((None, 50)) if not forced_end else None
+        alongside = (f"f{self.rng.randrange(40)}",)
+        out = self.entry.ended(self.now, request_id, end, 9, after, alongside)
         self.check(out)
 
-    def leave(self):
-        request_id = self.some(running=self.rng.random() < 0.5)
+    def disconnect_caller(self):
+        request_id = self.choose_request(running=self.rng.random() < 0.5)
         if request_id is not None:
-            fate = self.fate_by_id[request_id]
-            if not fate.gone:
-                fate.gone = True
-                fate.over = not fate.running
+            state = self.state_by_id[request_id]
+            if not state.gone:
+                state.gone = True
+                state.answered = not state.running
                 self.check(self.entry.caller_gone(self.now, request_id))
 
-    def shake(self):
+    def change_endpoint(self):
         name = self.rng.choice(NAMES)
         models = frozenset({"m"}) if self.rng.random() < 0.9 else frozenset()
         if self.rng.random() < 0.3:
@@ -105,12 +105,12 @@
             )  # fmt: skip
             self.check(self.entry.report(self.now, report))
 
-    def other(self):
+    def change_policy(self):
         limits = CallerLimits(self.rng.random() * 3, 2_000)
         self.entry.set_limits(self.now, f"c{self.rng.randrange(6)}", limits)
         name = f"f{self.rng.randrange(40)}"
         self.check(self.entry.convicted(self.now, name, 500))
-        running = self.some(running=True)
+        running = self.choose_request(running=True)
         if running is not None:
             self.check(self.entry.first_token(self.now, running))
             self.entry.tokens(self.now, running, 3)
@@ -124,9 +124,9 @@
             info = EndpointInfo(name, name[0], frozenset({"m"}))
             self.check(self.entry.endpoint_up(self.now, info))
         for _ in range(20_000):
-            if all(fate.over for fate in self.fate_by_id.values()):
+            if all(state.answered for state in self.state_by_id.values()):
                 return
-            self.end(AttemptEnd.DONE)
+            self.end_attempt(AttemptEnd.DONE)
             wake = self.entry.wake_ms()
             self.now = max(self.now + 1, wake or 0)
             self.tick()
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_each_request_is_answered_once_and_truly(
+def test_each_request_is_answered_once_and_correctly(
     make_entry, make_request, seed
 ):
     # Requests, losses, crashes, reports and convictions come in any
@@ -142,8 +142,12 @@
     # twice, none never, no "not run" of what may have run.
     entry = make_entry(NAMES, limit_initial=2)
     driver = Driver(entry, make_request, seed)
-    steps = [driver.arrive] * 5 + [driver.end] * 4 + [driver.tick] * 2
-    steps += [driver.leave, driver.shake, driver.other]
+    steps = [driver.arrive] * 5 + [driver.end_attempt] * 4 + [driver.tick] * 2
+    steps += [
+        driver.disconnect_caller,
+        driver.change_endpoint,
+        driver.change_policy,
+    ]
     for _ in range(1_500):
         driver.now += driver.rng.randrange(20)
         driver.rng.choice(steps)()
--- a/dahliashunt/decisions/tests/test_placement.py
+++ b/dahliashunt/decisions/tests/test_placement.py
@@ -28,11 +28,11 @@
     )
 
 
-def kinds(orders, kind):
+def orders_of_kind(orders, kind):
     return [order for order in orders if order.kind is kind]
 
 
-def targets_over(placement, endpoints, demands):
+def load_minutes(placement, endpoints, demands):
     """Plan once a minute; return the minutes in which a load is ordered."""
     minutes = []
     for minute, demand in enumerate(demands):
@@ -40,7 +40,7 @@
         orders = placement.plan(
             minute * MINUTE, endpoints, wanted, RATE, SIZES
         )
-        if kinds(orders, PlacementKind.LOAD):
+        if orders_of_kind(orders, PlacementKind.LOAD):
             minutes.append(minute)
     return minutes
 
@@ -50,32 +50,32 @@
     return Placement(PlacementPolicy())
 
 
-def test_burst_of_minutes_shifts_nothing(placement):
+def test_burst_of_minutes_loads_no_replica(placement):
     endpoints = fleet((NOTE,), (NOTE,), (), (), ())
     demands = [1.3] * 40 + [6.0] * 8 + [1.3] * 40
-    assert targets_over(placement, endpoints, demands) == []
+    assert load_minutes(placement, endpoints, demands) == []
 
 
-def test_wave_of_hours_adds_a_replica(placement):
+def test_sustained_demand_adds_a_replica(placement):
     endpoints = fleet((NOTE,), (NOTE,), (), (), ())
     demands = [1.3] * 40 + [2.6] * 40
-    minutes = targets_over(placement, endpoints, demands)
+    minutes = load_minutes(placement, endpoints, demands)
     assert minutes and 50 <= minutes[0] <= 60
 
 
-def test_wave_that_ends_drains_before_it_unloads(placement):
+def test_falling_demand_drains_before_unloading(placement):
     busy = fleet((NOTE,), (NOTE,), (NOTE,))
     wanted = (ModelDemand(NOTE, 1, 5, 0.2),)
     drained = []
     for minute in range(40):
         orders = placement.plan(minute * MINUTE, busy, wanted, RATE, SIZES)
-        assert not kinds(orders, PlacementKind.UNLOAD)
-        drained += kinds(orders, PlacementKind.DRAIN)
+        assert not orders_of_kind(orders, PlacementKind.UNLOAD)
+        drained += orders_of_kind(orders, PlacementKind.DRAIN)
     assert drained
 
 
 def test_drained_replica_unloads_once_idle(placement):
-    still = EndpointModels(
+    busy = EndpointModels(
         "e9",
         "dc0",
         loaded=(NOTE,),
@@ -86,9 +86,9 @@
         "e8", "dc1", loaded=(NOTE,), draining=frozenset(["note"])
     )
     wanted = (ModelDemand(NOTE, 2, 5, 1.0),)
-    endpoints = (*fleet((NOTE,), (NOTE,)), still, idle)
+    endpoints = (*fleet((NOTE,), (NOTE,)), busy, idle)
     orders = placement.plan(0, endpoints, wanted, RATE, SIZES)
-    unloads = kinds(orders, PlacementKind.UNLOAD)
+    unloads = orders_of_kind(orders, PlacementKind.UNLOAD)
     assert [order.endpoint_id for order in unloads] == ["e8"]
 
 
@@ -96,7 +96,7 @@
     # Callers see "no endpoint" while a new version is rolled out: all old
     # replicas are drained at once, since none has the wanted version, and
     # the new one takes minutes to load. Memory here holds one model only.
-    state = {f"e{n}": NOTE for n in range(3)}
+    model_on = {f"e{n}": NOTE for n in range(3)}
     loading: dict[str, int] = {}
     wanted = (ModelDemand(NOTE_2, 2, 3, 2.0),)
     least = 3
@@ -107,32 +107,32 @@
             EndpointModels(
                 e,
                 f"dc{n}",
-                loaded=(state[e],) if state[e] else (),
+                loaded=(model_on[e],) if model_on[e] else (),
                 loading=(NOTE_2,) if e in loading else (),
                 draining=frozenset(["note"] if e in draining else []),
                 capacity_bytes=30 * GB,
             )
-            for n, e in enumerate(state)
+            for n, e in enumerate(model_on)
         )
-        serving = sum(1 for e in state if state[e] and e not in draining)
+        serving = sum(1 for e in model_on if model_on[e] and e not in draining)
         least = min(least, serving)
         for order in placement.plan(now, endpoints, wanted, RATE, SIZES):
-            where = order.endpoint_id
+            endpoint_id = order.endpoint_id
             if order.kind is PlacementKind.DRAIN:
-                draining.add(where)
+                draining.add(endpoint_id)
             elif order.kind is PlacementKind.UNLOAD:
-                state[where] = None
-                draining.discard(where)
+                model_on[endpoint_id] = None
+                draining.discard(endpoint_id)
             else:
-                loading[where] = now + 60_000
-        for where in [e for e, at in loading.items() if at <= now]:
-            state[where] = NOTE_2
-            del loading[where]
+                loading[endpoint_id] = now + 60_000
+        for endpoint_id in [e for e, at in loading.items() if at <= now]:
+            model_on[endpoint_id] = NOTE_2
+            del loading[endpoint_id]
     assert least == 2
-    assert list(state.values()) == [NOTE_2] * 3
+    assert list(model_on.values()) == [NOTE_2] * 3
 
 
-def test_lost_rack_is_refilled_under_the_store_rate(placement):
+def test_loads_after_a_rack_loss_stay_below_the_store_rate(placement):
     # Ten replicas are lost with their rack. If all load together the store
     # gives each a tenth, and callers wait for ten loads instead of one.
     endpoints = fleet(*[()] * 10)
@@ -140,7 +140,7 @@
     ordered_bytes = 0
     for second in range(0, 200, 5):
         orders = placement.plan(second * 1000, endpoints, wanted, RATE, SIZES)
-        loads = kinds(orders, PlacementKind.LOAD)
+        loads = orders_of_kind(orders, PlacementKind.LOAD)
         assert len(loads) <= PlacementPolicy().most_loads
         ordered_bytes += len(loads) * SIZES["note"]
         # One load may overdraw the bucket, beside its burst.
@@ -168,7 +168,7 @@
     )
     endpoints = fleet((NOTE,), (NOTE,), (), (), capacity=50 * GB)
     orders = placement.plan(0, endpoints, wanted, RATE, SIZES)
-    loads = kinds(orders, PlacementKind.LOAD)
+    loads = orders_of_kind(orders, PlacementKind.LOAD)
     assert [order.model.model for order in loads] == ["lot"]
 
 
@@ -176,5 +176,5 @@
     endpoints = fleet((NOTE,), (), (), (), ())
     wanted = (ModelDemand(NOTE, 3, 3, 1.0),)
     orders = placement.plan(0, endpoints, wanted, RATE, SIZES)
-    loads = kinds(orders, PlacementKind.LOAD)
+    loads = orders_of_kind(orders, PlacementKind.LOAD)
     assert {order.endpoint_id for order in loads} == {"e1", "e2"}
--- a/dahliashunt/decisions/tracked.py
+++ b/dahliashunt/decisions/tracked.py
@@ -9,7 +9,7 @@
 from dahliashunt.errors import Ran
 from dahliashunt.ids import EndpointId
 
-__all__ = ["Phase", "Tracked"]
+__all__ = ["Phase", "TrackedRequest"]
 
 
 class Phase(enum.Enum):
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Tracked:
+class TrackedRequest:
     """One accepted request.
 
     Attributes
@@ -40,7 +40,7 @@
     request: OnlineRequest
     cost: float
     weight: float
-    taken: float = 0.0
+    charged_tokens: float = 0.0
     tag: float | None = None
     phase: Phase = Phase.WAITING
     waiting: Waiting | None = None
@@ -49,11 +49,11 @@
     sent_ms: int = 0
     alone: bool = False
     attempts: int = 0
-    overtaken: int = 0
+    times_overtaken: int = 0
     tokens: int = 0
-    uncached: float = 0.0
-    pending: float = 0.0
-    pending_with: float = 0.0
+    uncached_tokens: float = 0.0
+    prefill_tokens: float = 0.0
+    pending_at_dispatch: float = 0.0
     first_token: bool = False
     avoid: frozenset[EndpointId] = frozenset()
     ran: Ran = Ran.NO
