--- a/dahliashunt/decisions/__init__.py
+++ b/dahliashunt/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions under load: pure code, events and time in, decisions out."""
+"""Load decisions without I/O: events and time in, decisions out."""
 
 from dahliashunt.lazy import lazy_names
 
--- a/dahliashunt/decisions/attempt_ends.py
+++ b/dahliashunt/decisions/attempt_ends.py
@@ -1,4 +1,4 @@
-"""What follows the end of an attempt: done, again, or the final answer."""
+"""Handling of ended attempts: completion, retry or final answer."""
 
 from dahliashunt.decisions.dispatcher import Decision
 from dahliashunt.decisions.dispatcher import Dispatcher
@@ -17,14 +17,14 @@
 
 
 class AttemptEnds:
-    """Learn from an attempt's end and decide what follows."""
+    """Update the state after an attempt and decide on a retry."""
 
     def __init__(self, state: EntryState, dispatcher: Dispatcher):
         self._state = state
         self._dispatcher = dispatcher
 
     def done(self, now: int, tracked: TrackedRequest) -> None:
-        """Learn from an attempt that ended well, and forget it."""
+        """Record a successful attempt and forget the request."""
         request = tracked.request
         endpoint_ms = now - tracked.sent_ms
         state = self._state.model(request.model)
@@ -37,11 +37,10 @@
         del self._state.tracked_by_id[request.request_id]
 
     def learn_first_token(self, now: int, tracked: TrackedRequest) -> None:
-        """Learn from the time to a first token.
+        """Update the estimates by the time to a first token.
 
-        It is late by what its prompt takes with no load. The caller's
-        own time is no measure: with that of a patient one an engine's
-        queue would grow past what the others can wait.
+        The target derives from the unloaded time of the prompt and not from
+        the deadline, which for patient callers would let queues grow.
         """
         policy = self._state.policy
         request = tracked.request
@@ -63,16 +62,15 @@
         retry_after_ms: int | None,
         alone: bool = False,
     ) -> None:
-        """Learn of the endpoint from an attempt that failed there."""
+        """Update the endpoint after a failed attempt."""
         if end is AttemptEnd.NOT_RUN and alone:
-            # A suspect is turned away where anything else runs. Taken for
-            # overload, that would refuse innocent callers beside an
-            # endpoint with room; it bears only on the next suspect.
+            # An agent refuses a suspect while other work runs there. This
+            # is no overload and only delays the next suspect.
             endpoint.busy_until_ms = now + (retry_after_ms or 0)
             return
         if end is AttemptEnd.NOT_RUN and retry_after_ms is not None:
-            # The time fits the refused request, not all others: kept for
-            # long it would leave free places unused under saturation.
+            # The requested time suits the refused request; applied to all,
+            # a long one would leave free places unused.
             longest_ms = self._state.policy.back_off_max_ms
             endpoint.back_off_until_ms = now + min(retry_after_ms, longest_ms)
             endpoint.limit.congested(now)
@@ -89,7 +87,7 @@
         retry_after_ms: int | None,
         delivered: bool,
     ) -> list[Decision]:
-        """Try again elsewhere, or give the final answer."""
+        """Retry the request or return its final answer."""
         if delivered:
             tracked.ran = Ran.YES
         elif end is not AttemptEnd.NOT_RUN and tracked.ran is Ran.NO:
@@ -163,10 +161,10 @@
         tracked: TrackedRequest,
         alongside: tuple[Fingerprint, ...],
     ) -> list[Decision]:
-        """Count a crash for all that ran there, once for each.
+        """Count a crash once for each request that ran there.
 
-        Only what the ends and the agent say is counted: a request that
-        waited at the agent ends as not run and is under no suspicion.
+        Requests that only waited at the agent end as not run and are not
+        counted.
         """
         own = tracked.request.fingerprint
         crash_counted = tracked.endpoint.crash_counted
@@ -181,8 +179,8 @@
 
     def count_loss(self, now: int, tracked: TrackedRequest) -> list[Decision]:
         """Count a loss of unknown cause as half a crash."""
-        # An agent that dies with its engine can't say that it crashed:
-        # the link just breaks. Two such losses make a suspect.
+        # An agent that dies with its engine can't report the crash. Two
+        # such losses make a suspect.
         endpoint = tracked.endpoint
         fingerprint = tracked.request.fingerprint
         leaving = endpoint.loss is Loss.LEAVING
--- a/dahliashunt/decisions/dispatcher.py
+++ b/dahliashunt/decisions/dispatcher.py
@@ -1,4 +1,4 @@
-"""Where a request is put: an endpoint, the queue, the suspects, or out."""
+"""Moves requests between endpoints, the queue and the suspect queue."""
 
 from dahliashunt.decisions.endpoint import Endpoint
 from dahliashunt.decisions.entry_state import EntryState
@@ -21,20 +21,20 @@
 Decision = Dispatch | GiveUp
 
 _LOOKAHEAD = 8
-"""Waiting requests looked at for one that fits what came free."""
+"""Waiting requests examined for one that fits a free place."""
 
 _MAX_OVERTAKES = 4
-"""How often one may be passed for a better fit."""
+"""How often a request may be overtaken by one with a cached prefix."""
 
 
 class Dispatcher:
-    """Place requests, and move waiting ones to what comes free."""
+    """Dispatch, queue or refuse requests as places become free."""
 
     def __init__(self, state: EntryState):
         self._state = state
 
     def place(self, now: int, tracked: TrackedRequest) -> list[Decision]:
-        """Dispatch now, or wait, or turn away."""
+        """Dispatch, queue or refuse a request."""
         request = tracked.request
         if self._state.suspects.is_suspect(now, request.fingerprint):
             return self._isolate(now, tracked)
@@ -54,10 +54,10 @@
     def _may_bypass_queue(
         self, now: int, state: ModelState, tag: float
     ) -> bool:
-        """Tell whether room may exist for a newcomer with `tag`.
+        """Return whether a request with `tag` may be routed at once.
 
-        While somebody waits there is room only for those that the first
-        one is kept from; asking all endpoints each time would cost most.
+        While requests wait, only places that the first one can't use may
+        be free; this check saves a search of all endpoints.
         """
         queue = state.queue
         if not len(queue):
@@ -100,7 +100,7 @@
         return out
 
     def refuse_overloaded(self, now: int, tracked: TrackedRequest) -> GiveUp:
-        """Refuse for load, with the time of a useful resend."""
+        """Refuse for overload, with a Retry-After."""
         state = self._state.model(tracked.request.model)
         excess = 0.0
         if tracked.waiting is None and tracked.tag is not None:
@@ -113,7 +113,7 @@
     def refuse(
         self, tracked: TrackedRequest, kind: ErrorKind, after: int | None
     ) -> GiveUp:
-        """Give the final answer."""
+        """Forget the request and return its refusal."""
         self.drop(tracked)
         self._state.refused_by_kind[kind] += 1
         return GiveUp(
@@ -125,7 +125,7 @@
         )
 
     def drop(self, tracked: TrackedRequest) -> None:
-        """Forget a request that is not running; give back its charge."""
+        """Forget a request that is not running and refund its charge."""
         request = tracked.request
         del self._state.tracked_by_id[request.request_id]
         state = self._state.model(request.model)
@@ -135,7 +135,7 @@
         self.settle(tracked, ran=tracked.ran is not Ran.NO)
 
     def settle(self, tracked: TrackedRequest, ran: bool) -> None:
-        """Charge what was used in place of what was expected."""
+        """Replace the estimated charge of a request by its actual use."""
         request = tracked.request
         state = self._state.model(request.model)
         cost = tokens = 0.0
@@ -189,7 +189,7 @@
         return Dispatch(request.request_id, endpoint.endpoint_id, alone)
 
     def release(self, tracked: TrackedRequest) -> None:
-        """Free the place of an attempt that ended."""
+        """Free the place of an ended attempt."""
         endpoint = tracked.endpoint
         request_id = tracked.request.request_id
         endpoint.sent_ms_by_request.pop(request_id, None)
@@ -203,7 +203,7 @@
         self._state.fleet.forget_if_idle(endpoint)
 
     def prefill_done(self, tracked: TrackedRequest) -> None:
-        """Note that its prefill is over."""
+        """Remove the request from the pending prefills of its endpoint."""
         endpoint = tracked.endpoint
         endpoint.pending_tokens -= tracked.prefill_tokens
         tracked.prefill_tokens = 0.0
@@ -211,7 +211,7 @@
             endpoint.pending_tokens = 0.0
 
     def fill_endpoint(self, now: int, endpoint: Endpoint) -> list[Decision]:
-        """Give waiting requests what has come free on one endpoint."""
+        """Dispatch waiting requests to the free places of an endpoint."""
         out: list[Decision] = []
         for state in self._models_by_oldest(endpoint):
             while len(state.queue):
@@ -222,10 +222,9 @@
         return out
 
     def _models_by_oldest(self, endpoint: Endpoint) -> list[ModelState]:
-        """Return its models with a queue, the longest waiting first.
+        """Return the endpoint's non-empty queues, oldest request first.
 
-        In a fixed order the first model would starve the others of an
-        endpoint that serves several.
+        A fixed order would starve all models but the first.
         """
         by_model = self._state.state_by_model
         states = [by_model.get(model) for model in endpoint.models]
@@ -265,7 +264,7 @@
         return choice
 
     def dispatch_waiting(self, now: int) -> list[Decision]:
-        """Send what waits wherever there is room."""
+        """Dispatch waiting requests of all models, then suspects."""
         out: list[Decision] = []
         for state in self._state.state_by_model.values():
             out += self._dispatch_model(now, state)
@@ -285,7 +284,7 @@
             if endpoint is not None:
                 out += self._dispatch_or_isolate(now, tracked, endpoint)
             elif query.over_share or query.avoid:
-                # What it may not use may do for one behind it.
+                # A later request may use endpoints that this one can't.
                 passed += 1
             else:
                 break
@@ -307,17 +306,17 @@
             tracked.waiting = None
         tracked.phase = Phase.SUSPECT
         tracked.suspect_since_ms = now
-        # It starts with the next tick: of several that one crash made
-        # suspect, the smallest can go first only once all are here.
+        # Started by the next tick, when all suspects of the same crash
+        # are queued, so that the smallest goes first.
         self._state.suspect_queue.add(tracked)
         return []
 
     def dispatch_suspects(self, now: int) -> list[Decision]:
-        """Start the next suspect when none runs."""
+        """Dispatch the next suspect if none is running."""
         for tracked in self._state.suspect_queue.startable():
             fingerprint = tracked.request.fingerprint
             if not self._state.suspects.is_suspect(now, fingerprint):
-                # A resend of it ran to its end meanwhile.
+                # Cleared meanwhile by a completed resend.
                 self._state.suspect_queue.discard(tracked.request.request_id)
                 return self.place(now, tracked) + self.dispatch_suspects(now)
             endpoint = self._quarantine_endpoint(now, tracked.request)
@@ -329,10 +328,10 @@
     def _quarantine_endpoint(
         self, now: int, request: OnlineRequest
     ) -> Endpoint | None:
-        """Return the one endpoint on which suspects of a model run.
+        """Return the endpoint on which suspects of a model run.
 
-        It is chosen by its fixed rank, so that all entries take the same
-        one, and stays the same while suspects wait.
+        The lowest id hash is chosen, so that all entries agree; it is kept
+        while suspects wait.
         """
         serving = self._state.fleet.serving(request.model)
         kept = self._state.suspect_queue.endpoint
@@ -348,7 +347,7 @@
     def refuse_convicted(
         self, now: int, fingerprint: Fingerprint
     ) -> list[Decision]:
-        """Give up what waits with a convicted fingerprint."""
+        """Refuse waiting requests with a convicted fingerprint."""
         waiting = [
             tracked
             for tracked in self._state.tracked_by_id.values()
@@ -358,7 +357,7 @@
         return [self.refuse(t, ErrorKind.CONVICTED, None) for t in waiting]
 
     def refuse_unserved(self, now: int) -> list[Decision]:
-        """Give up what waits for a model that no endpoint holds now."""
+        """Refuse waiting requests whose model no endpoint serves."""
         out: list[Decision] = []
         for model, state in self._state.state_by_model.items():
             if self._state.fleet.serving(model):
--- a/dahliashunt/decisions/drain.py
+++ b/dahliashunt/decisions/drain.py
@@ -1,19 +1,13 @@
-"""When a waiting online request would start, and when to come back.
+"""Estimates of the queueing delay and of Retry-After at an endpoint.
 
-Load pattern: online load above what the endpoint can give. A request that
-can't start in time is refused at once; its Retry-After comes from the rate
-at which running streams end. Refused callers book a place each in a
-virtual queue, so that a burst of refusals comes back spread over the time
-that the endpoint needs, and not all at the same moment.
+Load pattern: online load above the capacity of the endpoint.
 
-Without it a refusal goes out at the deadline. The mean of the ended answers,
-in place of the estimate here, comes too late for the first refusals of a
-burst.
+Without it a request that can't start in time is refused only at its
+deadline, and refused callers resend at the same moment.
 
-Thresholds: a new request waits only if it starts in time with 95 in 100
-chances (1.65 standard deviations of the wait); an answer's weight halves
-in 14 answers; jitter of half the wait spreads callers whose places are
-close (M. Brooker).
+Rules: a new request waits only if it starts in time with a probability of
+95%. Each refused caller reserves a place in a virtual queue that drains at
+the rate at which streams end; jitter separates callers with close places.
 
 References
 ----------
@@ -26,23 +20,21 @@
 
 __all__ = ["Drain"]
 
-# Answers of one endpoint differ by an order of magnitude; this follows a
-# change of mix within some tens of answers.
+# Weight of the past for each ended answer.
 _DECAY = 0.95
 _ANSWER_PRIOR_TOKENS = 150.0
 _PRIOR_ANSWERS = 4.0
 _JITTER = 0.5
-# Standard deviations; 5 of 100 waits are longer.
+# 95% quantile of the wait, in standard deviations.
 _WAIT_QUANTILE = 1.65
 
 
 class Drain:
-    """Estimates from the tokens an answer takes and the step time.
+    """Wait estimates from the answer length and the step time.
 
-    The mean is tokens made over answers ended, unfinished answers
-    included (the estimate for censored lifetimes). The mean of the ended
-    ones alone is too short while a burst builds up, since its short
-    answers end first: 12 of 36 refusals then came at the deadline.
+    The mean length is generated tokens over ended answers, including the
+    tokens of unfinished ones (the estimate for censored lifetimes). The
+    mean of ended answers is too low in a burst, whose short ones end first.
     """
 
     def __init__(self, rng: random.Random, max_retry_after_ms: int):
@@ -53,11 +45,11 @@
         self._booked_until_ms = 0.0
 
     def produced(self, tokens: int) -> None:
-        """Learn that online answers grew."""
+        """Record generated tokens of online answers."""
         self._tokens += tokens
 
     def answered(self) -> None:
-        """Learn that an online answer ended."""
+        """Record the end of an online answer."""
         self._tokens *= _DECAY
         self._answers = self._answers * _DECAY + 1
 
@@ -67,22 +59,20 @@
         return self._tokens / self._answers
 
     def gap_ms(self, running: int, step_ms: float) -> float:
-        """Return the mean time between two ends of online streams."""
+        """Return the mean time between ends of online streams."""
         return self.answer_tokens * step_ms / max(1, running)
 
     def wait_ms(self, place: int, gap_ms: float, admitted: bool) -> float:
-        """Return how long the stream at `place` may have to wait.
+        """Return the expected wait at `place`, or a quantile if new.
 
-        Ends are as good as independent, so that the wait for n of them
-        varies by the root of n. A new request is let wait only if it will
-        start in time nearly always; one that was let wait goes on as long
-        as it is likely to.
+        Ends are nearly independent, so that the wait for n of them varies
+        by the root of n. Admitted requests are judged by the mean.
         """
         spread = 0.0 if admitted else _WAIT_QUANTILE * place**0.5
         return (place + spread) * gap_ms
 
     def retry_after_ms(self, now: int, waiting: int, gap_ms: float) -> int:
-        """Return when a refused caller should ask again, and book it."""
+        """Reserve a place for a refused caller; return its Retry-After."""
         soonest = now + (waiting + 1) * gap_ms
         place = max(self._booked_until_ms + gap_ms, soonest)
         self._booked_until_ms = min(place, now + self._max_ms)
--- a/dahliashunt/decisions/endpoint.py
+++ b/dahliashunt/decisions/endpoint.py
@@ -1,4 +1,4 @@
-"""One endpoint as one entry sees it."""
+"""An endpoint as one entry sees it."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -14,19 +14,14 @@
 __all__ = ["Endpoint", "EndpointState"]
 
 _RESERVE_MIN_LIMIT = 4
-"""Limit from which places are kept for callers under their share.
-
-Each of several entries has its part of an endpoint's places: three before
-endpoints of 20 have limits of six or seven, and with a higher bound none of
-them would keep a place.
-"""
+"""Lowest limit at which places are reserved for callers under their share."""
 
 _RESERVED_FRACTION = 0.1
-"""Part of the places that is kept for them, one at least."""
+"""Reserved part of the limit; at least one place."""
 
 
 class EndpointState(enum.Enum):
-    """Whether an endpoint is given work."""
+    """Availability of an endpoint for requests."""
 
     UP = "up"
     EJECTED = "ejected"
@@ -36,23 +31,23 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """One endpoint as this entry sees it.
+    """An endpoint as this entry sees it.
 
     Attributes
     ----------
-    others : float
-        Load by other entries and batch at the time of the last report.
+    external_load : float
+        Load by other entries and by batch work in the last report.
     first_token_ms : float
         Moving average of the time from dispatch to the first token.
     ms_per_token, pending_tokens : float
-        Learned speed of prefill; tokens sent there whose first token
-        has not come.
+        Estimated speed of prefill; prompt tokens of requests that wait
+        for their first token.
     reserved_by : RequestId or None
-        The suspect that runs there alone.
+        Suspect that runs there alone.
     busy_until_ms : int
-        Until when no suspect is sent there: other work held one up.
-    blamed : set of Fingerprint
-        Those to which its last crash was counted.
+        Time before which no suspect is sent there.
+    crash_counted : set of Fingerprint
+        Fingerprints for which its last crash was already counted.
     """
 
     endpoint_id: EndpointId
@@ -81,16 +76,16 @@
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests this entry has there."""
+        """Number of this entry's requests there."""
         return len(self.sent_ms_by_request)
 
     @property
     def pending_ms(self) -> float:
-        """Return how long the prefills that are pending there take."""
+        """Estimated time of the pending prefills."""
         return self.pending_tokens * self.ms_per_token
 
     def is_open(self, now: int) -> bool:
-        """Tell whether it is up and not kept for a suspect."""
+        """Return whether it is up, not reserved and not backing off."""
         return (
             self.state is EndpointState.UP
             and self.reserved_by is None
@@ -98,13 +93,13 @@
         )
 
     def can_isolate(self, now: int) -> bool:
-        """Tell whether a suspect may be sent there to run alone."""
+        """Return whether a suspect may be sent there to run alone."""
         return self.is_open(now) and now >= self.busy_until_ms
 
     def can_take(self, now: int, over_share: bool = False) -> bool:
-        """Tell whether one more may be sent there now.
+        """Return whether one more request may be sent there now.
 
-        The last places are kept from callers over their share.
+        The last places are reserved for callers under their share.
         """
         if self.reserved_by is not None or now < self.back_off_until_ms:
             return False
--- a/dahliashunt/decisions/entry.py
+++ b/dahliashunt/decisions/entry.py
@@ -1,20 +1,17 @@
-"""The front of the entry's decisions.
-
-Events go in with an explicit ``now``; what is to be done comes out. The
-parts and the load that each answers:
+"""Facade of the entry's decisions: events with ``now`` in, decisions out.
 
 =================  ====================================================
-`fair`             order among callers, shares; `limits`
-`queueing`         what waits, and what is turned away when
-`overload`         how much one endpoint is given
-`routing`          where a request goes; `prefix`, `fleet`
-`retry`            how many retries are made
-`suspects`         requests that crash what runs them
+`fair`             order among callers and their shares; see `limits`
+`queueing`         admission to the queue and dropping from it
+`overload`         concurrency limit of an endpoint
+`routing`          choice of the endpoint; see `prefix` and `fleet`
+`retry`            retry budget
+`suspects`         isolation of requests that crash engines
 =================  ====================================================
 
 `dispatcher` moves requests between endpoints, queue and suspects;
 `attempt_ends` decides what follows an attempt; `entry_policy` holds all
-settings. docs/design/entry-decisions.md has the ways weighed.
+settings. docs/design/entry-decisions.md compares the alternatives.
 """
 
 import random
@@ -49,19 +46,19 @@
 
 
 class EntryDecisions:
-    """Decide what is let in, waits, is turned away, and where it goes.
+    """Admission, queueing, routing and retries of online requests.
 
-    Every call takes ``now`` in monotonic milliseconds and returns what
-    is to be done at once. A request with no decision yet waits here.
-    Each `Dispatch` is answered by one `ended`, also after
-    `caller_gone`; until then it holds its place.
+    Every call takes ``now`` in monotonic milliseconds and returns the
+    decisions to carry out at once. A request without a decision waits.
+    Each `Dispatch` must be followed by one `ended`, also after
+    `caller_gone`; until then it occupies the endpoint.
 
     Parameters
     ----------
     policy : EntryPolicy
     rng : random.Random
     data_centre : DataCentreId
-        The entry's own, whose endpoints come first.
+        Data centre of the entry; its endpoints are preferred.
     """
 
     def __init__(
@@ -76,10 +73,10 @@
         self._now = 0
 
     def arrive(self, now: int, request: OnlineRequest) -> list[Decision]:
-        """Take a new request."""
+        """Admit, queue or refuse a new request."""
         self._now = now
         if request.request_id in self._state.tracked_by_id:
-            raise ValueError(f"request {request.request_id} is known")
+            raise ValueError(f"request {request.request_id} is in progress")
         refusal = self._refuse_at_once(now, request)
         if refusal is not None:
             return [refusal]
@@ -99,7 +96,7 @@
         return self._dispatcher.place(now, tracked)
 
     def first_token(self, now: int, request_id: RequestId) -> list[Decision]:
-        """Note that the first token of a request came."""
+        """Record the first token of a request."""
         self._now = now
         tracked = self._state.tracked_by_id.get(request_id)
         if tracked is None or tracked.first_token or not tracked.endpoint:
@@ -112,7 +109,7 @@
         return self._dispatcher.fill_endpoint(now, tracked.endpoint)
 
     def tokens(self, now: int, request_id: RequestId, count: int) -> None:
-        """Note progress of a request."""
+        """Record more generated tokens of a request."""
         tracked = self._state.tracked_by_id.get(request_id)
         if tracked is not None:
             tracked.tokens += count
@@ -127,18 +124,18 @@
         alongside: tuple[Fingerprint, ...] = (),
         delivered: bool = False,
     ) -> list[Decision]:
-        """Note that the attempt of a request ended.
+        """Record the end of an attempt and decide what follows.
 
         Parameters
         ----------
         tokens : int
-            Tokens of the whole answer.
+            Tokens of the whole answer so far.
         retry_after_ms : int or None
-            With NOT_RUN: how long the agent asks to be left alone.
+            With NOT_RUN: back-off requested by the agent.
         alongside : tuple of Fingerprint
-            With CRASHED: what else ran there, as the agent says.
+            With CRASHED: other requests that ran there, from the agent.
         delivered : bool
-            Whether the caller got any of the answer.
+            Whether the caller received any part of the answer.
         """
         self._now = now
         tracked = self._state.tracked_by_id.get(request_id)
@@ -162,18 +159,18 @@
                 now, tracked, end, retry_after_ms, delivered
             )
         if tracked.alone:
-            # The next suspect first, or other work fills the endpoint.
+            # Before other work, which would fill the freed endpoint.
             out += self._dispatcher.dispatch_suspects(now)
         return out + self._dispatcher.fill_endpoint(now, endpoint)
 
     def caller_gone(self, now: int, request_id: RequestId) -> list[Decision]:
-        """Note that nobody waits for the request any more."""
+        """Record that the caller disconnected."""
         self._now = now
         tracked = self._state.tracked_by_id.get(request_id)
         if tracked is None:
             return []
         if tracked.phase is Phase.RUNNING:
-            # It may still crash its endpoint, so it stays until it ends.
+            # Kept until its end, since it may still crash the endpoint.
             tracked.caller_gone = True
             return []
         self._dispatcher.drop(tracked)
@@ -182,19 +179,19 @@
     def set_limits(
         self, now: int, caller: CallerId, limits: CallerLimits | None
     ) -> list[Decision]:
-        """Set a caller's limits; None goes back to the default."""
+        """Set a caller's limits; None restores the default."""
         self._now = now
         self._state.limits.put(caller, limits)
         return []
 
     def endpoint_up(self, now: int, info: EndpointInfo) -> list[Decision]:
-        """Start to use an endpoint."""
+        """Add an endpoint or update its models."""
         self._now = now
         self._state.fleet.add_endpoint(now, info)
         return self._dispatcher.dispatch_waiting(now)
 
     def report(self, now: int, report: EndpointReport) -> list[Decision]:
-        """Take an agent's report."""
+        """Apply an agent's load report."""
         self._now = now
         self._state.prefixes.report(
             now, report.endpoint_id, report.cached_prefixes
@@ -208,7 +205,7 @@
     def endpoint_gone(
         self, now: int, endpoint_id: EndpointId, loss: Loss
     ) -> list[Decision]:
-        """Stop using an endpoint; what is in flight there ends by itself."""
+        """Stop using an endpoint; attempts in flight end separately."""
         self._now = now
         endpoint = self._state.fleet.mark_gone(now, endpoint_id, loss)
         if endpoint is None:
@@ -221,27 +218,27 @@
     def convicted(
         self, now: int, fingerprint: Fingerprint, for_ms: int
     ) -> list[Decision]:
-        """Take a conviction from another entry."""
+        """Apply a conviction received from another entry."""
         self._now = now
         self._state.suspects.convict(now, fingerprint, for_ms)
         return self._dispatcher.refuse_convicted(now, fingerprint)
 
     def new_convictions(self) -> list[Conviction]:
-        """Return the convictions to be shared, and forget them."""
+        """Return and clear the convictions to share with other entries."""
         return self._state.suspects.take_new()
 
     def suspected(self, now: int, fingerprint: Fingerprint) -> list[Decision]:
-        """Take a suspicion from another entry: it runs only alone here."""
+        """Apply a suspicion received from another entry."""
         self._now = now
         self._state.suspects.suspect(now, fingerprint)
         return []
 
     def new_suspects(self) -> list[Fingerprint]:
-        """Return the suspects to be shared, and forget them."""
+        """Return and clear the suspects to share with other entries."""
         return self._state.suspects.take_new_suspects()
 
     def tick(self, now: int) -> list[Decision]:
-        """Turn away what is hopeless by now; probe ejected endpoints."""
+        """Refuse requests that can't start in time; probe endpoints."""
         self._now = now
         out: list[Decision] = []
         self._state.fleet.start_probes(now)
@@ -259,7 +256,7 @@
         return out + self._dispatcher.dispatch_waiting(now)
 
     def wake_ms(self) -> int | None:
-        """Return when `tick` is next useful."""
+        """Return when to call `tick` next, or None."""
         if len(self._state.suspect_queue) or any(
             len(state.queue) for state in self._state.state_by_model.values()
         ):
@@ -267,7 +264,7 @@
         return self._state.fleet.next_probe_ms()
 
     def status(self) -> EntryStatus:
-        """Return what is in flight, waiting and refused."""
+        """Return counts of requests in flight, waiting and refused."""
         states = self._state.state_by_model
         return EntryStatus(
             in_flight=sum(state.in_flight for state in states.values()),
@@ -297,7 +294,7 @@
         if self._state.suspects.convicted_until(now, fingerprint) is not None:
             return self._refuse(request, ErrorKind.CONVICTED, None)
         if not self._state.fleet.serving(request.model):
-            # A client may name any model: none is remembered for that.
+            # No state for unknown models: clients may send any name.
             policy = self._state.policy
             after = policy.retry_after_min_ms * self._state.rng.uniform(2, 6)
             return self._refuse(request, ErrorKind.NO_ENDPOINT, int(after))
--- a/dahliashunt/decisions/entry_policy.py
+++ b/dahliashunt/decisions/entry_policy.py
@@ -1,8 +1,6 @@
 """Settings of the entry's decisions.
 
-Every figure that a decision compares with stands here with its default;
-the module that uses it says why it is what it is. The four names choose
-policies from registries, so that each can be set back to its baseline:
+The four names select policies from registries; the baselines are
 ``order="fcfs"``, ``queueing="by_deadline"``, ``limit="none"`` and
 ``routing="round_robin"`` or ``"least_in_flight"``.
 """
@@ -19,12 +17,13 @@
     Attributes
     ----------
     order : str
-        Who is next among waiting callers: ``fair`` or ``fcfs``.
+        Order among waiting callers: ``fair`` or ``fcfs``.
     queueing : str
-        What waits and what is dropped: ``predicted``, ``by_deadline``,
+        Admission and dropping: ``predicted``, ``by_deadline``,
         ``newest_first`` or ``codel``.
     limit : str
-        Concurrency an endpoint: ``aimd``, ``gradient`` or ``none``.
+        Concurrency limit of an endpoint: ``aimd``, ``gradient`` or
+        ``none``.
     routing : str
         ``affinity``, ``two_choices``, ``least_in_flight`` or
         ``round_robin``.
@@ -35,8 +34,8 @@
     limit: str = "aimd"
     routing: str = "affinity"
 
-    # Fair sharing: an output token costs a decode step, a prompt token
-    # a part of a prefill; a call without tokens costs as much as a few.
+    # Fair sharing: cost of an output token relative to a prompt token,
+    # and minimum cost of a call, in prompt tokens.
     output_token_weight: float = 2.0
     request_tokens: int = 32
     default_output_tokens: int = 128
@@ -75,7 +74,7 @@
     prefix_report_ms: int = 1_000
     prefixes_total: int = 20_000
 
-    # Ejection, and rest after a refusal by an agent.
+    # Ejection, and back-off after a refusal by an agent.
     back_off_max_ms: int = 250
     eject_failures: int = 3
     eject_ms: int = 2_000
@@ -105,4 +104,4 @@
     limit="none",
     routing="round_robin",
 )
-"""First come first served, no limit, round robin."""
+"""Baseline: first come first served, no limit, round robin."""
--- a/dahliashunt/decisions/entry_state.py
+++ b/dahliashunt/decisions/entry_state.py
@@ -1,4 +1,4 @@
-"""What the entry's decisions share and remember."""
+"""State shared by the parts of the entry's decisions."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointStatus:
-    """One endpoint, for people to read."""
+    """Status of one endpoint, for display."""
 
     endpoint_id: EndpointId
     data_centre: DataCentreId
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryStatus:
-    """The entry's decisions, for people to read."""
+    """Status of the entry's decisions, for display."""
 
     in_flight: int
     suspects_waiting: int
@@ -51,7 +51,7 @@
 
 
 class EntryState:
-    """Everything that the parts of the entry's decisions share."""
+    """Shared state of the entry's decisions."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         self.sequence = 0
 
     def model(self, model: ModelId) -> ModelState:
-        """Return the state of `model`, a new one at first."""
+        """Return the state of `model`, created at first use."""
         state = self.state_by_model.get(model)
         if state is None:
             state = ModelState(self.policy)
--- a/dahliashunt/decisions/fleet.py
+++ b/dahliashunt/decisions/fleet.py
@@ -1,17 +1,16 @@
-"""What one entry knows of the endpoints: load, speed, failures, state.
+"""State of the endpoints at one entry: load, speed, failures, ejection.
 
-Load pattern: an endpoint fails all it gets, at once, so that it always
-looks idle and draws the traffic.
+Load pattern: an endpoint fails all requests at once, so that it always
+looks idle and attracts the traffic.
 
-Without ejection one failing endpoint of five uses up the retry budget, and
-half of all answers are lost.
+Without it one failing endpoint uses up the retry budget, and its part of
+the answers is lost.
 
-Three failures in a row eject: a single one happens, and three by chance
-are rare at any failure rate that an endpoint may have. It is out for 2 s,
-doubled each time up to a minute, and comes back by one request at a time
-(outlier detection as in Envoy). At most about a third of a model's
-endpoints may be out, for failures that all share say nothing about one.
-A crash ejects without regard to that part: a crashed engine is down.
+Rules: several failures in a row eject an endpoint for a time that doubles
+with each ejection; it returns on probe, with one request at a time (outlier
+detection as in Envoy). The ejected part of a model's endpoints is capped,
+since failures that all endpoints share say nothing about one; crashes
+ignore the cap.
 
 A gone endpoint comes back with `Fleet.add_endpoint`; a crashed one also with
 a newer report that lists models, since its agent is still running.
@@ -37,20 +36,20 @@
 """Weight of one new sample in a moving average."""
 
 _FLEET_EWMA_WEIGHT = 0.05
-"""The same for a mean over all endpoints."""
+"""Weight of one new sample in a mean over all endpoints."""
 
 OVERHEAD_TOKENS = 300
-"""What a first token costs besides its prompt: hops and one step."""
+"""Cost of network hops and one decode step, in prompt tokens."""
 
 _RANKING_CACHE_SIZE = 4_096
-"""Prefixes whose rank is remembered."""
+"""Prefixes whose ranking is cached."""
 
 _GONE_RETENTION_MS = 600_000
-"""How long a crashed endpoint is waited for."""
+"""Time for which a gone endpoint is kept, for a later report."""
 
 
 class Fleet:
-    """The endpoints by id and by model, with ejection of failing ones."""
+    """Endpoints by id and by model, with ejection of failing ones."""
 
     def __init__(self, policy: EntryPolicy, data_centre: DataCentreId):
         self._policy = policy
@@ -66,7 +65,7 @@
         self.probing_by_id: dict[EndpointId, Endpoint] = {}
 
     def add_endpoint(self, now: int, info: EndpointInfo) -> Endpoint:
-        """Add an endpoint, or bring one back with a clean slate."""
+        """Add an endpoint, or restore a gone one with fresh state."""
         old = self.by_id.get(info.endpoint_id)
         endpoint = Endpoint(
             info.endpoint_id,
@@ -99,7 +98,7 @@
         return endpoint
 
     def forget_if_idle(self, endpoint: Endpoint) -> None:
-        """Drop an endpoint that is gone and has nothing in flight."""
+        """Drop a gone endpoint without requests in flight."""
         if (
             endpoint.state is EndpointState.GONE
             and endpoint.loss is not Loss.CRASHED
@@ -109,11 +108,10 @@
             del self.by_id[endpoint.endpoint_id]
 
     def report(self, now: int, report: EndpointReport) -> bool:
-        """Take a load report, corrected by what was sent since.
+        """Apply a load report, corrected by requests sent since.
 
-        Returns whether the models that are served changed. A newer
-        report with models brings a crashed endpoint back: its agent
-        lived on beside the engine.
+        Returns whether the served models changed. A newer report with
+        models restores a crashed endpoint, whose agent is still running.
         """
         endpoint = self.by_id.get(report.endpoint_id)
         if endpoint is None:
@@ -131,8 +129,8 @@
         if endpoint.reported_ms is not None and at < endpoint.reported_ms:
             return False
         if report.running_online + report.waiting_online == 0:
-            # What it was busy with has ended sooner than it had foretold;
-            # to wait on would refuse callers beside an idle endpoint.
+            # Idle sooner than predicted; a remaining back-off would refuse
+            # callers beside an idle endpoint.
             endpoint.back_off_until_ms = 0
             endpoint.busy_until_ms = 0
         endpoint.quarantined_until_ms = (
@@ -149,14 +147,14 @@
         return self._set_models(endpoint, report.models)
 
     def serving(self, model: ModelId) -> list[Endpoint]:
-        """Return the endpoints that hold `model`."""
+        """Return the endpoints that serve `model`."""
         return self._all_by_model.get(model, [])
 
     def ranked(self, model: ModelId, key: int) -> list[Endpoint]:
-        """Return the first two endpoints for `key` by rendezvous.
+        """Return the first two endpoints for `key` by rendezvous hashing.
 
         The hash of a tuple of integers is the same in every process, so
-        all entries rank alike.
+        that all entries agree.
         """
         known = self._ranked_by_key.get((model, key))
         if known is None:
@@ -168,18 +166,18 @@
         return known
 
     def local(self, model: ModelId) -> list[Endpoint]:
-        """Return those in the entry's data centre."""
+        """Return the endpoints of `model` in the entry's data centre."""
         return self._local_by_model.get(model, [])
 
     def remote(self, model: ModelId) -> list[Endpoint]:
-        """Return those in other data centres."""
+        """Return the endpoints of `model` in other data centres."""
         return self._remote_by_model.get(model, [])
 
     def load(self, now: int, endpoint: Endpoint) -> float:
-        """Return the load there: own in flight plus that of others.
+        """Return own requests in flight plus external load.
 
-        A stale report says little; the mean of the fleet stands in for
-        it, for an endpoint that falls silent must not look idle.
+        A stale report is replaced by the fleet's mean, so that a silent
+        endpoint doesn't look idle.
         """
         reported = endpoint.reported_ms
         stale = self._policy.report_stale_ms
@@ -195,7 +193,10 @@
         ahead: float,
         target_ms: float,
     ) -> None:
-        """Learn from a first token, sent with `ahead` tokens pending."""
+        """Update speed and limit by the time to a first token.
+
+        `ahead` is the number of pending tokens at dispatch, own included.
+        """
         speed = ms / (ahead + OVERHEAD_TOKENS)
         endpoint.ms_per_token += _EWMA_WEIGHT * (speed - endpoint.ms_per_token)
         endpoint.limit.sample(now, ms, target_ms, endpoint.in_flight)
@@ -208,7 +209,7 @@
         self.limit_mean += _FLEET_EWMA_WEIGHT * deviation
 
     def succeeded(self, endpoint: Endpoint) -> None:
-        """Note an attempt that ended well."""
+        """Record a successful attempt; end a probe."""
         endpoint.failures = 0
         if endpoint.state is EndpointState.PROBING:
             endpoint.state = EndpointState.UP
@@ -216,7 +217,7 @@
             self.probing_by_id.pop(endpoint.endpoint_id, None)
 
     def failed(self, now: int, endpoint: Endpoint) -> None:
-        """Note a failed attempt; eject after several in a row."""
+        """Record a failed attempt; eject after several in a row."""
         endpoint.failures += 1
         probing = endpoint.state is EndpointState.PROBING
         many = endpoint.failures >= self._policy.eject_failures
@@ -226,12 +227,12 @@
             self._eject(now, endpoint)
 
     def crashed(self, now: int, endpoint: Endpoint) -> None:
-        """Note a crash: out at once, with no regard to the cap."""
+        """Record a crash; eject at once, regardless of the cap."""
         if endpoint.state is not EndpointState.GONE:
             self._eject(now, endpoint)
 
     def start_probes(self, now: int) -> None:
-        """Put ejected endpoints whose time is over on probe."""
+        """Put endpoints on probe whose ejection is over."""
         for endpoint in self.by_id.values():
             if (
                 endpoint.state is EndpointState.EJECTED
@@ -242,7 +243,7 @@
                 self.probing_by_id[endpoint.endpoint_id] = endpoint
 
     def next_probe_ms(self) -> int | None:
-        """Return when an ejected endpoint is next put on probe."""
+        """Return the time of the next probe, or None."""
         return min(
             (
                 endpoint.ejected_until_ms
@@ -253,8 +254,8 @@
         )
 
     def _purge_gone(self, now: int) -> None:
-        # Crashed ones are kept for a report that brings them back; ids
-        # of replaced instances must not pile up.
+        # Crashed endpoints are kept for a report that restores them, but
+        # ids of replaced instances must not accumulate.
         for endpoint in list(self.by_id.values()):
             if (
                 endpoint.state is EndpointState.GONE
--- a/dahliashunt/decisions/link_choice.py
+++ b/dahliashunt/decisions/link_choice.py
@@ -1,11 +1,13 @@
-"""Which agents an entry links to.
+"""Choice of the agents to which an entry links.
 
-Load pattern: 500 entries and 7,000 agents. With links between all of them,
-3.5 million heartbeats would go round each period and every instance that
-comes would greet 500 others. Each entry links to a bounded set instead,
-chosen by rendezvous hashing: every entry computes its own set without
-asking anybody, and when one agent goes, only the entries that had it take
-another. Small fleets are linked in full.
+Load pattern: hundreds of entries and thousands of agents.
+
+Without it links between all of them multiply heartbeats, and each new
+instance connects to hundreds of others.
+
+How: each entry links to a bounded set, which it computes itself by
+rendezvous hashing [1]_; when an agent leaves, only the entries linked to it
+choose another one. Small fleets are linked in full.
 
 References
 ----------
@@ -23,7 +25,7 @@
 
 
 def rendezvous_rank(node_id: NodeId, endpoint_id: EndpointId) -> int:
-    """Return the rank of a pair; higher is chosen first."""
+    """Return the rank of a pair; higher ranks are chosen first."""
     text = f"{node_id}\0{endpoint_id}".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest())
 
--- a/dahliashunt/decisions/placement.py
+++ b/dahliashunt/decisions/placement.py
@@ -1,23 +1,22 @@
-"""Which replica loads and unloads which model, and when.
+"""Placement of models on endpoints.
 
-Load patterns: an hour-scale wave (the day of one continent) that moves
-demand from one model to another; minute-scale bursts that are over before
-weights are loaded; a rollout of a new version; a rack that is lost with
-all its replicas at once.
+Load pattern: demand that moves between models within hours; bursts that end
+before weights are loaded; rollouts; the loss of a rack with its replicas.
 
-The median demand of half an hour must pass one of two marks before the
-count of replicas changes, so that a wave shifts it and a burst does not. Loads
-are admitted by a token bucket in bytes under the weight store's rate, the
-models below their floor first: without it a lost rack's replicas ask for
-their weights together, each load takes as long as all, and none serves
-until the last is there. Endpoints drain before they unload; a replica of an
-old version is taken only while the others still hold the floor.
+Without it bursts cause useless loads, and the replicas of a lost rack
+compete for the weight store, so that none serves until all are loaded.
+
+Rules: the median of recent demand must cross a threshold, with hysteresis,
+before the number of replicas changes. A token bucket in bytes keeps loads
+under the weight store's rate, models below their floor first. Endpoints
+drain before they unload, and an old version is unloaded only while the
+other replicas meet the floor.
 
 Notes
 -----
-The plan is stateless but for the recent demand, the last change of each
-model and the bucket, all of which a new lease holder may start afresh: it
-only waits longer. O(endpoints * models) a plan, run every few seconds.
+The state is the recent demand, the last change of each model and the
+bucket; a new lease holder may start without it and only waits longer.
+O(endpoints * models) a plan, run every few seconds.
 
 References
 ----------
@@ -47,7 +46,7 @@
 
 
 class PlacementKind(enum.Enum):
-    """What an endpoint is to do with a model."""
+    """Kind of a placement order."""
 
     LOAD = "load"
     DRAIN = "drain"
@@ -56,14 +55,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointModels:
-    """What an endpoint reports as loaded, and has room for.
+    """Models and free memory that an endpoint reports.
 
     Attributes
     ----------
     loaded, loading : tuple of LoadedModel
-        From the engine's own report.
+        Models that the engine reports.
     draining : frozenset of str
-        Models that get no new work there.
+        Models that get no new requests there.
     busy : frozenset of str
         Models with streams that still run there.
     capacity_bytes : int
@@ -82,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementOrder:
-    """One step of one endpoint towards the wanted placement."""
+    """A step of one endpoint towards the target placement."""
 
     endpoint_id: EndpointId
     kind: PlacementKind
@@ -90,7 +89,7 @@
 
 
 class Placement:
-    """Plans the next steps from reports, records and demand.
+    """Plan the next orders from reports, records and demand.
 
     Parameters
     ----------
@@ -110,10 +109,9 @@
         weight_rate_bytes_s: float,
         sizes_by_model: dict[str, int],
     ) -> tuple[PlacementOrder, ...]:
-        """Return the steps to order now.
+        """Return the orders to give now.
 
-        Each is a step that is safe with all others of the plan; the next
-        plan, from fresh reports, goes on from there.
+        They are safe together; later ones follow from fresh reports.
         """
         plan = _Plan(endpoints, sizes_by_model)
         self._bucket.refill(now, weight_rate_bytes_s)
@@ -123,7 +121,7 @@
             target = self._targets.target(now, demand, replicas)
             gaps.append((demand, target))
             self._remove(plan, demand, target)
-        # Below the floor first: those callers get errors, others wait.
+        # Models below their floor first, since their callers get errors.
         gaps.sort(key=lambda gap: -plan.below_floor(gap[0]))
         for demand, target in gaps:
             self._add(plan, demand, target)
@@ -155,7 +153,7 @@
         need_room = plan.current(demand.model) < target
         for endpoint in old:
             replaced = len(current) >= target
-            # The floor holds with the replica gone, or it stays.
+            # Keep the replica if the others would not meet the floor.
             if serving - 1 < floor or not (replaced or need_room):
                 break
             plan.retire(endpoint, plan.version_on(endpoint, demand.model))
@@ -166,7 +164,7 @@
 
 
 class _Plan:
-    """The reports, with what this plan orders added."""
+    """The reports together with the orders of this plan."""
 
     def __init__(self, endpoints, sizes_by_model):
         self._endpoints = [e for e in endpoints if not e.leaving]
@@ -181,13 +179,13 @@
         return sum(1 for e in self._endpoints if self._holds(e, name))
 
     def below_floor(self, demand: ModelDemand) -> int:
-        """Return how many replicas are missing to the floor."""
+        """Return how many replicas are missing from the floor."""
         name = demand.model.model
         serving = sum(1 for e in self._endpoints if self._serves(e, name))
         return max(0, demand.floor - serving)
 
     def current(self, model: LoadedModel) -> int:
-        """Count endpoints that have or get the wanted version."""
+        """Count endpoints that serve or load the wanted version."""
         return sum(
             1
             for e in self._endpoints
@@ -214,16 +212,16 @@
         ]
 
     def version_on(self, endpoint, model: LoadedModel) -> LoadedModel:
-        """Return the version of the model that the endpoint has."""
+        """Return the version of the model loaded on the endpoint."""
         return next(m for m in endpoint.loaded if m.model == model.model)
 
     def loads_in_progress(self) -> int:
-        """Count loads that run or are ordered."""
+        """Count loads in progress and ordered."""
         loading = sum(len(e.loading) for e in self._endpoints)
         return loading + sum(len(added) for added in self._added.values())
 
     def best_for(self, demand: ModelDemand) -> EndpointModels | None:
-        """Return where the next replica goes: fixed places, then spread."""
+        """Return the endpoint for the next replica, spread over centres."""
         model = demand.model
         size = self.sizes_by_model.get(model.model, 0)
         free = [
@@ -249,12 +247,12 @@
         self._order(endpoint, PlacementKind.LOAD, model)
 
     def retire(self, endpoint: EndpointModels, model: LoadedModel) -> None:
-        """Order a drain; the unload follows once nothing runs there."""
+        """Order a drain; the unload follows when no stream runs there."""
         self._retired.add((endpoint.endpoint_id, model.model))
         self._order(endpoint, PlacementKind.DRAIN, model)
 
     def finish_drains(self, model: LoadedModel) -> None:
-        """Order the unload of drained replicas on which nothing runs."""
+        """Order the unload of drained replicas without streams."""
         name = model.model
         for endpoint in self._endpoints:
             if name not in endpoint.draining or name in endpoint.busy:
@@ -264,7 +262,7 @@
                     self._order(endpoint, PlacementKind.UNLOAD, loaded)
 
     def drop_unwanted(self, wanted: set[str]) -> None:
-        """Drain and unload models that no record names any more."""
+        """Drain and unload models that no record names."""
         for endpoint in self._endpoints:
             for loaded in endpoint.loaded:
                 name = loaded.model
--- a/dahliashunt/decisions/prefix.py
+++ b/dahliashunt/decisions/prefix.py
@@ -1,21 +1,19 @@
-"""Which endpoints probably hold which prompt prefixes.
+"""Index of the endpoints that probably cache a prompt prefix.
 
-Load pattern: conversations and shared openings, whose prefill is cheap
-where the prefix is cached. Cache events come late and with gaps.
+Load pattern: conversations and shared system prompts, whose prefill is
+cheap where the prefix is cached. Cache events arrive late and with gaps.
 
-Without it requests find their prefixes by chance, and prefills that were
-done elsewhere delay first tokens.
+Without it requests hit cached prefixes by chance, and repeated prefills
+delay first tokens.
 
-What an endpoint's report lists counts until a later report leaves it out.
-What this entry sent there itself counts at once, for 30 s, since the
-report that shows it may be lost; an empty report says nothing. The index
-is a guess for routing only: a wrong one costs a prefill, never an answer.
+How: a reported prefix counts until a later report omits it; an empty report
+is ignored. A dispatched prefix counts at once for a limited time, since the
+report that confirms it may be lost. A wrong entry costs a prefill, never an
+answer.
 
-Memory: 20,000 prefixes in all, about 8 MB, in equal parts for each
-endpoint. A report's prefixes are looked at once a second at most, as
-comparing two sets of 2,000 takes about 100 microseconds. Of a long prompt
-only blocks at depths that grow by a half are looked at, some twenty for
-2,000 blocks, so that a match is known to within a third.
+Complexity: O(log n) lookups for n blocks, at depths that grow by a half, so
+that a match is exact to within a third. Memory is bounded in total and
+divided equally between endpoints.
 """
 
 from functools import lru_cache
@@ -27,11 +25,7 @@
 
 @lru_cache(maxsize=1_024)
 def _depths(length: int) -> tuple[int, ...]:
-    """Return the depths that are looked at, deepest first.
-
-    They grow by a half, so that a prompt of thousands of blocks costs
-    some twenty steps and a match is known to within a third.
-    """
+    """Return the sampled depths, deepest first."""
     depths = {length} if length else set()
     depth = 1
     while depth < length:
@@ -41,17 +35,17 @@
 
 
 class PrefixIndex:
-    """Endpoints by cached prefix, from reports and from own dispatches.
+    """Endpoints by cached prefix, from reports and own dispatches.
 
     Parameters
     ----------
     sent_ms : int
-        How long an own dispatch counts without a report that shows it.
+        Time for which a dispatch counts without a confirming report.
     total : int
-        Most prefixes remembered; each endpoint has an equal part of it.
+        Maximum number of prefixes, divided equally between endpoints.
     report_ms : int
-        A report's prefixes are looked at so often at most, for
-        comparing two sets takes about 100 microseconds.
+        Minimum interval between evaluated reports of an endpoint, since
+        comparing large sets is slow.
 
     Examples
     --------
@@ -74,7 +68,7 @@
     def record_dispatch(
         self, now: int, endpoint_id: EndpointId, keys: tuple[int, ...]
     ) -> None:
-        """Note that a prompt with `keys` went to the endpoint."""
+        """Record that a prompt with `keys` was sent to the endpoint."""
         sent = self._sent_by_id.setdefault(endpoint_id, {})
         by_key = self._holders_by_key
         until = now + self._sent_ms
@@ -97,7 +91,7 @@
     def report(
         self, now: int, endpoint_id: EndpointId, cached: frozenset[int]
     ) -> None:
-        """Take what the endpoint's cache events say; empty says nothing."""
+        """Replace the reported prefixes; an empty report is ignored."""
         if not cached or now < self._next_report_ms_by_id.get(endpoint_id, 0):
             return
         self._next_report_ms_by_id[endpoint_id] = now + self._report_ms
@@ -113,7 +107,7 @@
             self._holders_by_key.setdefault(key, {})[endpoint_id] = None
 
     def forget_endpoint(self, endpoint_id: EndpointId) -> None:
-        """Forget an endpoint, whose cache goes with it."""
+        """Remove an endpoint and its prefixes."""
         self._next_report_ms_by_id.pop(endpoint_id, None)
         for key in self._reported_by_id.pop(endpoint_id, ()):
             self._forget(key, endpoint_id)
@@ -123,7 +117,7 @@
     def cached_depths(
         self, now: int, keys: tuple[int, ...]
     ) -> dict[EndpointId, int]:
-        """Return how many of `keys` each holder has, deepest first."""
+        """Return how many of `keys` each holder caches, deepest first."""
         depth_by_id: dict[EndpointId, int] = {}
         for depth in _depths(len(keys)):
             holders = self._holders_by_key.get(keys[depth - 1])
@@ -139,7 +133,7 @@
     def cached_fraction(
         self, now: int, endpoint_id: EndpointId, keys: tuple[int, ...]
     ) -> float:
-        """Return which part of a prompt with `keys` is cached there."""
+        """Return the fraction of `keys` that the endpoint caches."""
         for depth in _depths(len(keys)):
             holders = self._holders_by_key.get(keys[depth - 1])
             if holders and endpoint_id in holders:
--- a/dahliashunt/decisions/retry.py
+++ b/dahliashunt/decisions/retry.py
@@ -1,19 +1,18 @@
-"""How many retries are made.
+"""Retry budget.
 
-Load pattern: endpoints that fail while the fleet is loaded; each retry is
-load on what is left.
+Load pattern: endpoints fail while the fleet is loaded, and each retry adds
+load to the remaining ones.
 
-Without a budget each request may become four. With all endpoints failing,
-200 requests make 210 runs instead of 800 (test). Retries may be a tenth
-of the successes, so that they add at most 10% of load, on top of a
-reserve of 10 for a fleet that just started [1]_; a caller may use a fifth
-of its own successes and a reserve of 3, so that one caller's failing
-requests don't use up the retries of all.
+Without it retries multiply the load when many endpoints fail.
 
-Not charged: what an endpoint that is leaving or lost did not run, and the
-run alone of a suspect, which is bounded by itself. Nothing is retried
-after an end that may have run it, unless it is idempotent and the caller
-got nothing of it yet. Only callers below their reserve are remembered.
+Rules: retries are limited to a fraction of successes plus a reserve, for
+the fleet and for each caller [1]_, so that one caller's failing requests
+don't use up the retries of the others.
+
+Not charged: requests not run by an endpoint that is leaving or lost, and
+isolated runs of suspects, which have their own bound. A request that may
+have run is retried only if it is idempotent and nothing of its answer was
+delivered.
 
 References
 ----------
@@ -28,7 +27,7 @@
 
 
 class RetryBudget:
-    """Retries as a share of successes, over all and by caller.
+    """Token buckets of retries for the fleet and for each caller.
 
     Examples
     --------
@@ -45,11 +44,11 @@
     def __init__(self, policy: EntryPolicy):
         self._policy = policy
         self._fleet_balance = policy.retry_reserve
-        # Only callers below their cap are here; the oldest go first.
+        # Callers below their reserve; the oldest entry is evicted first.
         self._by_caller: dict[CallerId, float] = {}
 
     def succeeded(self, caller: CallerId) -> None:
-        """Earn a part of a retry."""
+        """Credit a success to the budgets of the fleet and the caller."""
         policy = self._policy
         self._fleet_balance = min(
             policy.retry_cap, self._fleet_balance + policy.retry_ratio
@@ -63,7 +62,7 @@
                 self._by_caller[caller] = balance
 
     def take(self, caller: CallerId) -> bool:
-        """Take one retry; False if there is none left."""
+        """Charge one retry; return False if a budget is exhausted."""
         policy = self._policy
         balance = self._by_caller.pop(caller, policy.caller_retry_reserve)
         allowed = balance >= 1 and self._fleet_balance >= 1
--- a/dahliashunt/decisions/routing.py
+++ b/dahliashunt/decisions/routing.py
@@ -1,42 +1,30 @@
-"""Where a request goes.
-
-Load pattern: shared prefixes against load; slow endpoints; reports that
-are late or missing; data centres at a distance.
-
-Without it (round robin) one slow endpoint of five makes each fifth answer
-late, and conversations find their prefixes at another endpoint.
-
-`affinity` compares a small pool by predicted cost in milliseconds: the
-holders of the longest prefix, the two homes of the opening by rendezvous
-hashing [1]_ as far as they are within 1.25 times the mean load [2]_, and
-two near endpoints and a far one at random [3]_. With six endpoints or
-fewer all are compared: two choices among five often leave out the only fast
-ones. Cost is
-
-* the prefill of what isn't cached there, at the endpoint's own speed, and
-  of what is pending before it;
-* load over the larger of its own limit and the fleet's mean. The own limit
-  alone is noise while it isn't reached, and load would follow it;
-* the mean first-token time there, fading with a half life of 5 s. After
-  10 s without use an endpoint counts as unknown, so that one that healed
-  is tried again;
-* 60 ms for another data centre, about an eighth of a full endpoint: near
-  ones first, far ones once those are clearly busier.
-
-Load is what this entry has in flight there plus what the last report
-counted beyond that; own requests that were sent before the report are
-taken out of it. A report older than 3 s is replaced by the mean of the
-fleet, so that a silent endpoint doesn't look idle.
-
-Under saturation one endpoint at a time comes free; of the first eight
-waiting one with half its prompt cached there is taken, and none is passed
-more than four times. Without this look ahead affinity is lost just when
-prefills are the scarcest.
-
-Endpoints on probe after an ejection get one idempotent request at a time.
-
-Complexity: O(pool); O(endpoints) when the pool is full. A ranking is
-computed once for an opening and kept.
+"""Routing of requests to endpoints.
+
+Load pattern: shared prefixes compete with load; endpoints are slow, reports
+late or missing, data centres distant.
+
+Without it (round robin) a slow endpoint delays its part of all answers, and
+conversations miss their cached prefixes.
+
+How: `affinity` compares the predicted cost, in milliseconds, of the holders
+of the longest prefix, two home endpoints by rendezvous hashing [1]_ within
+a load bound [2]_, and random local and remote endpoints [3]_; in a small
+fleet, of all endpoints. The cost is the sum of
+
+* the prefill of uncached and of pending tokens at the endpoint's speed;
+* its load over the larger of its own limit and the fleet's mean, since the
+  own limit says little until it is reached;
+* its mean time to first token, which decays, so that an endpoint that has
+  recovered is tried again;
+* a constant for another data centre.
+
+Under saturation a free place goes to one of the first waiting requests with
+half its prompt cached there, else to the first; without this look-ahead
+affinity would be lost. Endpoints on probe after an ejection get one
+idempotent request at a time.
+
+Complexity: O(candidates); O(endpoints) if all candidates are full. Rankings
+are cached by first prefix key.
 
 References
 ----------
@@ -70,7 +58,7 @@
 
 @dataclass(slots=True)
 class RoutingQuery:
-    """What is asked of the router.
+    """A request with the state that its routing depends on.
 
     Attributes
     ----------
@@ -86,7 +74,7 @@
     over_share: bool = False
 
     def can_use(self, endpoint: Endpoint) -> bool:
-        """Tell whether the request may go to `endpoint` now."""
+        """Return whether the request may go to `endpoint` now."""
         return (
             endpoint.can_take(self.now, self.over_share)
             and endpoint.endpoint_id not in self.avoid
@@ -94,7 +82,7 @@
 
 
 class Router:
-    """Choose endpoints by the routing policy of the settings."""
+    """Choose endpoints by the configured routing policy."""
 
     def __init__(
         self,
@@ -111,10 +99,10 @@
         self._choose: Callable = ROUTING.get(policy.routing)
 
     def choose(self, query: RoutingQuery) -> Endpoint | None:
-        """Return where to send the request now, or None to let it wait.
+        """Return the endpoint for the request, or None if it has to wait.
 
-        Endpoints on which it failed before are used only where no other
-        endpoint holds the model.
+        Endpoints on which it failed before are used only if no other
+        endpoint serves the model.
         """
         endpoint = self._probe(query)
         if endpoint is None:
@@ -129,7 +117,7 @@
         return self._choose(self, replace(query, avoid=frozenset()))
 
     def _probe(self, query: RoutingQuery) -> Endpoint | None:
-        """Return an endpoint on probe; only idempotent requests probe."""
+        """Return an endpoint on probe for an idempotent request."""
         if not query.request.may_repeat:
             return None
         for endpoint in self.fleet.probing_by_id.values():
@@ -140,16 +128,15 @@
         return None
 
     def open_endpoints(self, query: RoutingQuery) -> list[Endpoint]:
-        """Return every endpoint that can take the request now."""
+        """Return all endpoints that can take the request now."""
         serving = self.fleet.serving(query.request.model)
         return [e for e in serving if query.can_use(e)]
 
     def holds(self, query: RoutingQuery, endpoint: Endpoint) -> bool:
-        """Tell whether the endpoint has half of the prompt cached.
+        """Return whether the endpoint has half of the prompt cached.
 
-        Under saturation one endpoint at a time has room, and prefixes
-        would be lost if it took whoever is first. Routing without
-        affinity takes the first, and so does a prompt without keys.
+        Always true without affinity routing or without prefix keys, so
+        that the first waiting request is taken.
         """
         keys = query.request.prefix_keys
         if not keys or self.policy.routing != "affinity":
@@ -160,11 +147,10 @@
         return held >= 0.5
 
     def cost(self, now: int, endpoint: Endpoint) -> float:
-        """Return the cost of load, slowness and distance in ms.
+        """Return the cost of load, latency and distance in ms.
 
-        Load is counted in units of the endpoint's own limit, so that a
-        slow endpoint, whose limit is low, is full sooner. What was
-        learned of its speed fades, so that it is tried again.
+        Load is relative to the endpoint's limit, which is low for a slow
+        endpoint.
         """
         policy = self.policy
         load = self.fleet.load(now, endpoint) + 1
@@ -173,8 +159,8 @@
         half_life = policy.slow_half_life_ms
         cost = endpoint.first_token_ms * half_life / (half_life + age)
         if age > 2 * half_life:
-            # What is not used is not measured: a limit that once went
-            # down would keep a healthy endpoint out for good.
+            # An unused endpoint has no recent samples, and its old limit
+            # would keep it unused.
             limit = max(limit, policy.limit_initial)
             cost = 0.0
         cost += policy.full_cost_ms * load / limit
@@ -186,7 +172,7 @@
 
 @ROUTING.register("round_robin")
 def round_robin(router: Router, query: RoutingQuery) -> Endpoint | None:
-    """Take each in turn: a baseline."""
+    """Choose open endpoints in turn (baseline)."""
     endpoints = router.open_endpoints(query)
     if not endpoints:
         return None
@@ -196,7 +182,7 @@
 
 @ROUTING.register("least_in_flight")
 def least_in_flight(router: Router, query: RoutingQuery) -> Endpoint | None:
-    """Take the one with the fewest own requests: a baseline."""
+    """Choose the endpoint with the fewest own requests (baseline)."""
     endpoints = router.open_endpoints(query)
     if not endpoints:
         return None
@@ -206,7 +192,7 @@
 
 @ROUTING.register("two_choices")
 def two_choices(router: Router, query: RoutingQuery) -> Endpoint | None:
-    """Take the cheaper of two at random, near ones first."""
+    """Choose the cheapest of a few random endpoints."""
     pool = [
         e
         for e in _random_candidates(router, query.request)
@@ -219,11 +205,10 @@
 
 @ROUTING.register("affinity")
 def affinity(router: Router, query: RoutingQuery) -> Endpoint | None:
-    """Weigh the cached part of the prompt against load.
+    """Choose the candidate with the lowest predicted time to first token.
 
-    The pool is the holders of the longest prefixes, the homes of the
-    prefix by rendezvous within the load bound, and some at random; the
-    cheapest of the pool by predicted time to first token wins.
+    Candidates are the holders of the longest prefixes, the home endpoints
+    of the prefix within the load bound, and some random ones.
     """
     request = query.request
     keys = request.prefix_keys
@@ -253,7 +238,7 @@
 def _random_candidates(
     router: Router, request: OnlineRequest
 ) -> list[Endpoint]:
-    """Return two near endpoints and a far one, or all of a few."""
+    """Return two local endpoints and a remote one, or all of a few."""
     fleet = router.fleet
     serving = fleet.serving(request.model)
     if len(serving) <= router.policy.few_endpoints:
@@ -287,7 +272,7 @@
 
 
 def _home_endpoints(router: Router, request: OnlineRequest) -> list[Endpoint]:
-    """Return the homes of the prefix that are within the load bound."""
+    """Return the home endpoints of the prefix within the load bound."""
     fleet = router.fleet
     ranked = fleet.ranked(request.model, request.prefix_keys[0])
     serving = len(fleet.serving(request.model))
--- a/dahliashunt/decisions/suspects.py
+++ b/dahliashunt/decisions/suspects.py
@@ -1,32 +1,26 @@
-"""Requests that may crash each endpoint that runs them.
-
-Load pattern: one request crashes each engine that runs it, and its caller
-sends it again.
-
-Without it each resend crashes one more engine, and the requests beside it
-are lost; with it three engines crash at the most, each resend is refused at
-once, and nobody else is.
-
-After a crash all that ran in the engine is suspect. A suspect runs alone;
-a crash while alone is proof and convicts, a run to the end clears. A crash
-in company says little: neighbours of two crashes would be refused though
-innocent. It convicts only at the third, so that no request crashes more
-than three endpoints by way of one entry. Suspicions are shared as well as
-convictions, so that a resend through another entry runs alone there: the
-bound for the fleet is one crash in company, one alone, and those that were
-sent before the word came round.
-
-A loss of unknown cause counts half, for an agent that dies with its
-engine can't report a crash; a cut-off data centre must not make all its
-requests run one by one.
-
-Suspects of a model run one at a time, on an endpoint that all entries
-choose alike, so that at most one is taken from other work. The smallest
-goes first: most suspects are innocent neighbours, and this order clears
-most of them soonest (shortest job first). They wait up to 30 s.
-
-Suspicions and convictions end after ten minutes, for a new version of the
-engine may run what crashed the old one; 10,000 of each are remembered.
+"""Isolation of requests that crash the endpoints that run them.
+
+Load pattern: a request crashes each engine that runs it and is resent by
+its caller.
+
+Without it each resend crashes another engine and loses the requests that
+run beside it.
+
+Rules: all requests that ran in a crashed engine become suspect. A suspect
+runs alone: a crash convicts it, which means that it is refused; completion
+clears it. A crash beside other requests is weak evidence and convicts only
+at the third, so that one entry lets no request crash more than three
+endpoints. Suspicions and convictions are shared between entries, so that a
+resend through another entry is isolated or refused too.
+
+A loss of unknown cause counts half a crash, since an agent that dies with
+its engine can't report it, while one network failure must not isolate all
+requests of a data centre.
+
+Suspects of a model run one at a time on one endpoint, the same for all
+entries, shortest job first, which clears most of the innocent ones soonest.
+Suspicions and convictions expire, since a new engine version may run the
+request.
 """
 
 from dataclasses import dataclass
@@ -43,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conviction:
-    """A fingerprint to be refused by every entry for a time."""
+    """A fingerprint that every entry refuses for `for_ms`."""
 
     fingerprint: Fingerprint
     for_ms: int
@@ -56,7 +50,7 @@
 
 
 class Suspects:
-    """Fingerprints seen in crashes, and those convicted.
+    """Suspect and convicted fingerprints of one entry.
 
     Examples
     --------
@@ -85,10 +79,10 @@
         alone: bool,
         weight: float = 1.0,
     ) -> bool:
-        """Note a crash while it ran; return whether that convicts it.
+        """Count a crash during a run; return whether it convicts.
 
-        `weight` is below 1 for a loss that may have had other causes;
-        it takes a sum of 1 to be suspect.
+        `weight` is below 1 for a loss that may have had other causes; a
+        fingerprint is suspect from a sum of 1.
         """
         if self.convicted_until(now, fingerprint) is not None:
             return True
@@ -112,25 +106,25 @@
         return False
 
     def suspect(self, now: int, fingerprint: Fingerprint) -> None:
-        """Take the word of another entry that it was in a crash."""
+        """Apply a suspicion received from another entry."""
         if fingerprint not in self._suspicion_by:
             until_ms = now + self._policy.suspect_for_ms
             self._suspicion_by[fingerprint] = _Suspicion(1, until_ms)
             _evict_oldest(self._suspicion_by, self._policy.fingerprints_max)
 
     def convict(self, now: int, fingerprint: Fingerprint, for_ms: int) -> None:
-        """Refuse the fingerprint for a time."""
+        """Convict the fingerprint for `for_ms`."""
         self._suspicion_by.pop(fingerprint, None)
         self._convicted_until_by.pop(fingerprint, None)
         self._convicted_until_by[fingerprint] = now + for_ms
         _evict_oldest(self._convicted_until_by, self._policy.fingerprints_max)
 
     def cleared(self, fingerprint: Fingerprint) -> None:
-        """Note that it ran to its end and crashed nothing."""
+        """Remove the suspicion after a completed run."""
         self._suspicion_by.pop(fingerprint, None)
 
     def is_suspect(self, now: int, fingerprint: Fingerprint) -> bool:
-        """Tell whether it may run only alone."""
+        """Return whether the fingerprint may run only alone."""
         suspicion = self._suspicion_by.get(fingerprint)
         if suspicion is None or suspicion.crashes < 1:
             return False
@@ -142,7 +136,7 @@
     def convicted_until(
         self, now: int, fingerprint: Fingerprint
     ) -> int | None:
-        """Return until when it is refused, or None."""
+        """Return the time until which it is refused, or None."""
         until = self._convicted_until_by.get(fingerprint)
         if until is not None and until <= now:
             del self._convicted_until_by[fingerprint]
@@ -150,24 +144,20 @@
         return until
 
     def take_new(self) -> list[Conviction]:
-        """Return the convictions made here since the last call."""
+        """Return this entry's convictions since the last call."""
         new = self._new
         self._new = []
         return new
 
     def take_new_suspects(self) -> list[Fingerprint]:
-        """Return what became suspect here since the last call."""
+        """Return this entry's new suspects since the last call."""
         new = self._new_suspects
         self._new_suspects = []
         return new
 
 
 class SuspectQueue:
-    """Suspects that wait to run alone, one at a time, small ones first.
-
-    The smallest first: most suspects are innocent neighbours, and this
-    order clears the most of them soonest.
-    """
+    """Suspects that wait to run alone, shortest job first."""
 
     def __init__(self):
         self._by_id: dict[RequestId, TrackedRequest] = {}
@@ -178,30 +168,30 @@
         return len(self._by_id)
 
     def add(self, tracked: TrackedRequest) -> None:
-        """Let a suspect wait."""
+        """Add a waiting suspect."""
         self._by_id[tracked.request.request_id] = tracked
 
     def discard(self, request_id: RequestId) -> None:
-        """Remove one if it waits here."""
+        """Remove a waiting suspect, if present."""
         self._by_id.pop(request_id, None)
 
     def start(self, tracked: TrackedRequest) -> None:
-        """Note that this one runs now."""
+        """Mark a waiting suspect as running."""
         self.discard(tracked.request.request_id)
         self.running = tracked.request.request_id
 
     def startable(self) -> list[TrackedRequest]:
-        """Return who may start, smallest first; nobody while one runs."""
+        """Return suspects in starting order; none while one runs."""
         if self.running is not None:
             return []
         return sorted(self._by_id.values(), key=_size)
 
     def waiting_for(self, model: ModelId) -> list[TrackedRequest]:
-        """Return those that wait for `model`."""
+        """Return waiting suspects of `model`."""
         return [t for t in self._by_id.values() if t.request.model == model]
 
     def overdue(self, now: int, wait_ms: int) -> list[TrackedRequest]:
-        """Return those that waited longer than `wait_ms`."""
+        """Return suspects that have waited longer than `wait_ms`."""
         return [
             tracked
             for tracked in self._by_id.values()
--- a/dahliashunt/decisions/tracked.py
+++ b/dahliashunt/decisions/tracked.py
@@ -1,4 +1,4 @@
-"""One accepted request, and where it is."""
+"""An accepted request and its state."""
 
 from dataclasses import dataclass
 import enum
@@ -13,7 +13,7 @@
 
 
 class Phase(enum.Enum):
-    """Where an accepted request is."""
+    """State of an accepted request."""
 
     WAITING = "waiting"
     SUSPECT = "suspect"
@@ -22,19 +22,20 @@
 
 @dataclass(slots=True, eq=False)
 class TrackedRequest:
-    """One accepted request.
+    """An accepted request and its accounting.
 
     Attributes
     ----------
-    cost, taken : float
-        Charged to its caller's share, and to its caller's hard limit.
+    cost, charged_tokens : float
+        Charges to its caller's share and to its caller's hard limit.
     tag : float or None
-        Its place among callers, given at its first wait or dispatch.
-    uncached, pending, pending_with : float
-        Uncached tokens of its prompt; the same while its first token is
-        awaited, else 0; the same with those that were ahead of it.
+        Position in the fair order, set at its first wait or dispatch.
+    uncached_tokens, prefill_tokens : float
+        Uncached prompt tokens; the same until the first token, then 0.
+    pending_at_dispatch : float
+        Pending prompt tokens of the endpoint at dispatch, own included.
     ran : Ran
-        What can be said of all its attempts so far.
+        Whether any of its attempts may have run.
     """
 
     request: OnlineRequest
