--- a/dahliashunt/decisions/tests/test_entry.py
+++ b/dahliashunt/decisions/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""The front of the entry's decisions, event by event."""
+"""Tests of `EntryDecisions`, event by event."""
 
 import pytest
 
@@ -43,8 +43,7 @@
 
 
 def test_refused_request_is_not_charged(make_entry, make_request):
-    # The fleet is full. Refusals that use up a caller's hard limit would
-    # lock it out after the overload, for work that was never done.
+    # Refusals must not use up the caller's hard limit.
     entry = make_entry(("a1",), limit_initial=1, queue_length=0)
     entry.set_limits(0, "c", CallerLimits(tokens_a_second=300, burst_s=1.5))
     entry.arrive(0, make_request())
@@ -56,8 +55,7 @@
 def test_request_that_cannot_start_in_time_is_refused_early(
     make_entry, make_request
 ):
-    # A request waits behind one that does not end. Told at its deadline,
-    # its caller has lost the whole time; it could have gone elsewhere.
+    # A request behind one that doesn't end must not wait until its deadline.
     entry = make_entry(("a1",), limit_initial=1)
     running = make_request()
     entry.arrive(0, running)
@@ -81,8 +79,8 @@
 def test_caller_under_its_share_overtakes_those_over_it(
     make_entry, make_request
 ):
-    # One caller holds all places but the last and waits for that one too.
-    # A newcomer under its share must not stand behind it for a tick.
+    # A caller under its share must not queue behind one that is over its
+    # share and waits for the reserved place.
     entry = make_entry(("a1",))
     entry.arrive(0, make_request(caller="small"))
     while entry.arrive(0, make_request(caller="hot")):
@@ -95,8 +93,7 @@
 
 
 def test_models_of_one_endpoint_take_turns(make_entry, make_request):
-    # An endpoint with one place serves two models. If the same model were
-    # always asked first, callers of the other would never be served.
+    # A fixed order of models would starve all but the first.
     entry = make_entry(("a1",), limit_initial=1, limit_max=1)
     both = EndpointInfo("a1", "a", frozenset({"m", "n"}))
     entry.endpoint_up(0, both)
@@ -144,8 +141,7 @@
 def test_non_idempotent_request_that_may_have_run_is_not_retried(
     make_entry, make_request, end
 ):
-    # A title-release stamp was sent and its endpoint lost. Sent again it
-    # may stamp twice; called "not run", the buyer sends it again.
+    # A retry, or the answer "not run", could execute the call twice.
     entry = make_entry()
     request = make_request(may_repeat=False)
     entry.arrive(0, request)
@@ -165,8 +161,7 @@
 
 
 def test_unknown_then_not_run_stays_unknown(make_entry, make_request):
-    # A repeatable request is lost on one endpoint, then refused by all
-    # others. It may have run on the first: "no" would be a lie.
+    # A request that may have run must not be reported as not run.
     entry = make_entry(("a1", "a2", "a3"))
     request = make_request()
     entry.arrive(0, request)
@@ -177,8 +172,7 @@
 
 
 def test_retries_are_bounded_by_the_budget(make_entry, make_request):
-    # Every endpoint fails. Retried without a budget, each request would
-    # become four and keep a weak fleet down.
+    # Unlimited retries would multiply the load on a failing fleet.
     entry = make_entry(limit="none", eject_part=0.0)
     runs = 0
     for number in range(200):
@@ -226,9 +220,7 @@
 def test_suspect_runs_alone_and_is_convicted_by_a_second_crash(
     make_entry, make_request
 ):
-    # A request crashes the engine that runs it, beside an innocent one.
-    # Both run alone next; the crash of one is then proof, and neither
-    # its waiting resends nor new ones may run.
+    # Neither waiting nor new resends of a crashing request may run.
     entry = make_entry(("a1", "a2", "a3"), limit_initial=1)
     bad, good = make_request(fingerprint="bad"), make_request(max_tokens=10)
     (sent,) = entry.arrive(0, bad)
@@ -254,9 +246,7 @@
 def test_request_running_beside_two_crashes_is_not_convicted(
     make_entry, make_request
 ):
-    # A request is beside a crashing one twice, once at the agent of a
-    # suspect that was not alone after all. It must be cleared by its own
-    # run, not refused for its company.
+    # Crashes beside another request are no proof; its own run clears it.
     entry = make_entry(("a1", "a2", "a3"))
     good = make_request(fingerprint="good")
     entry.arrive(0, good)
@@ -271,7 +261,7 @@
     sent = [entry.arrive(99, make_request()) for _ in range(3)]
     sent.append(entry.arrive(99, make_request(fingerprint="good")))
     assert not any(decision.alone for (decision,) in sent)
-    # Two are ejected after the crashes; the quarantine is over.
+    # The other two endpoints are ejected after the crashes.
     assert {d.endpoint_id for (d,) in sent} == {again.endpoint_id}
 
 
@@ -292,8 +282,7 @@
 def test_request_of_a_gone_caller_still_becomes_suspect(
     make_entry, make_request
 ):
-    # A caller hangs up on a request that then crashes the engine. If it
-    # were forgotten with the caller, its resend would run beside others.
+    # Its resend must run alone although the caller disconnected first.
     entry = make_entry(("a1", "a2"))
     request = make_request(fingerprint="bad")
     entry.arrive(0, request)
@@ -320,8 +309,7 @@
 
 
 def test_state_of_idle_callers_is_discarded(make_entry, make_request):
-    # Every workspace sends one request, 1,000 a second. What is kept of
-    # each must go once it is idle, or an entry grows by all its callers.
+    # Per-caller state that outlives its requests would leak memory.
     entry = make_entry(limit="none")
     limits = CallerLimits(tokens_a_second=1_000)
     for number in range(44_000):
--- a/dahliashunt/decisions/tests/test_entry_parts.py
+++ b/dahliashunt/decisions/tests/test_entry_parts.py
@@ -1,4 +1,4 @@
-"""The parts behind the entry's front, each by itself."""
+"""Unit tests of the parts of the entry's decisions."""
 
 import random
 
@@ -50,8 +50,7 @@
 
 
 def test_idle_caller_accumulates_no_share():
-    # One caller works alone for a while; then another comes. It must not
-    # be served alone until it has caught up on what it never asked for.
+    # A late caller must not be served alone until it has caught up.
     order = FairOrder()
     for _ in range(100):
         order.served(order.tag(0, "busy", 10, 1.0))
@@ -94,8 +93,7 @@
 
 
 def test_standing_queue_admits_only_short_waits():
-    # The queue has not been empty for half a second: it adds wait to all
-    # who come and no work. From now on only a short wait is let in.
+    # A queue that never empties adds latency to all requests.
     queue = WaitingQueue()
     queue.push(waiting(1))
     predicted = DISCIPLINES.get("predicted")(POLICY)
@@ -132,8 +130,7 @@
 
 
 def test_retry_after_grows_with_refusals_and_is_jittered():
-    # A thousand are refused at once. Told the same time, they come back
-    # at once and are refused again.
+    # Callers refused together must not return together.
     state = ModelState(EntryPolicy(default_service_ms=20))
     rng = random.Random(1)
     waits = [state.retry_after(0, 0.0, rng) for _ in range(1_000)]
@@ -145,14 +142,12 @@
 
 
 def test_calls_without_tokens_have_a_cost():
-    # Plain services have no tokens. At no cost all callers would share a
-    # place in the fair order, and who asks most would get most.
+    # At zero cost the fair order would not limit the busiest caller.
     assert ModelState(POLICY).cost(0, 0) > 0
 
 
 def test_ejection_leaves_most_of_the_fleet(fleet):
-    # All endpoints fail for a reason that they share. Ejecting them all
-    # would turn a partial failure into none served.
+    # Ejecting all endpoints would turn a partial failure into an outage.
     for endpoint in fleet.by_id.values():
         for _ in range(5):
             fleet.failed(0, endpoint)
@@ -181,8 +176,7 @@
 
 
 def test_reports_are_corrected_by_what_was_sent_since(fleet):
-    # A report is 200 ms old: what was sent since is not in it, what was
-    # sent before is. An older report that comes later changes nothing.
+    # A report counts only requests sent before it; older ones are ignored.
     endpoint = fleet.by_id["e0"]
     endpoint.sent_ms_by_request = {"r1": 700, "r2": 900}
     fleet.report(1_000, report(200, running=5))
@@ -235,8 +229,7 @@
 
 
 def test_losses_of_unknown_cause_weigh_half():
-    # A data centre is cut off and its requests with it. One such loss
-    # must not make hundreds of innocent requests run one by one.
+    # One network failure must not isolate all requests of a data centre.
     suspects = Suspects(POLICY)
     for _ in range(3):
         assert not suspects.crashed(0, "f", alone=False, weight=0.5)
--- a/dahliashunt/decisions/tests/test_entry_random.py
+++ b/dahliashunt/decisions/tests/test_entry_random.py
@@ -1,4 +1,4 @@
-"""Random events in any order: what must hold of each request."""
+"""Invariants of each request under random sequences of events."""
 
 from dataclasses import dataclass
 import random
@@ -26,7 +26,7 @@
 
 
 class Driver:
-    """Does random things to an entry and checks each decision."""
+    """Send random events to an entry and check each decision."""
 
     def __init__(self, entry, make_request, seed):
         self.entry = entry
@@ -119,7 +119,7 @@
         self.check(self.entry.tick(self.now))
 
     def finish(self):
-        """Let all end well, with the fleet healthy."""
+        """Complete all requests on a healthy fleet."""
         for name in NAMES:
             info = EndpointInfo(name, name[0], frozenset({"m"}))
             self.check(self.entry.endpoint_up(self.now, info))
@@ -130,16 +130,14 @@
             wake = self.entry.wake_ms()
             self.now = max(self.now + 1, wake or 0)
             self.tick()
-        raise AssertionError("some request has no answer")
+        raise AssertionError("a request was not answered in 20,000 steps")
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_each_request_is_answered_once_and_correctly(
     make_entry, make_request, seed
 ):
-    # Requests, losses, crashes, reports and convictions come in any
-    # order. Whatever comes, a caller waits for one true answer: none
-    # twice, none never, no "not run" of what may have run.
+    # No request may be answered twice, never, or wrongly as not run.
     entry = make_entry(NAMES, limit_initial=2)
     driver = Driver(entry, make_request, seed)
     steps = [driver.arrive] * 5 + [driver.end_attempt] * 4 + [driver.tick] * 2
--- a/dahliashunt/decisions/tests/test_placement.py
+++ b/dahliashunt/decisions/tests/test_placement.py
@@ -16,7 +16,7 @@
 
 
 def fleet(*loaded, capacity=30 * GB):
-    """Return endpoints with these models, spread over three centres."""
+    """Return endpoints with these models in three data centres."""
     return tuple(
         EndpointModels(
             f"e{n}",
@@ -33,7 +33,7 @@
 
 
 def load_minutes(placement, endpoints, demands):
-    """Plan once a minute; return the minutes in which a load is ordered."""
+    """Plan once a minute; return the minutes with a load order."""
     minutes = []
     for minute, demand in enumerate(demands):
         wanted = (ModelDemand(NOTE, 2, 5, demand),)
@@ -93,9 +93,8 @@
 
 
 def test_rollout_never_goes_below_the_floor(placement):
-    # Callers see "no endpoint" while a new version is rolled out: all old
-    # replicas are drained at once, since none has the wanted version, and
-    # the new one takes minutes to load. Memory here holds one model only.
+    # Draining all old replicas at once would leave no endpoint; memory
+    # holds one model only.
     model_on = {f"e{n}": NOTE for n in range(3)}
     loading: dict[str, int] = {}
     wanted = (ModelDemand(NOTE_2, 2, 3, 2.0),)
@@ -133,8 +132,7 @@
 
 
 def test_loads_after_a_rack_loss_stay_below_the_store_rate(placement):
-    # Ten replicas are lost with their rack. If all load together the store
-    # gives each a tenth, and callers wait for ten loads instead of one.
+    # Concurrent loads would share the store's rate and all finish late.
     endpoints = fleet(*[()] * 10)
     wanted = (ModelDemand(NOTE, 10, 10, 5.0),)
     ordered_bytes = 0
@@ -143,7 +141,7 @@
         loads = orders_of_kind(orders, PlacementKind.LOAD)
         assert len(loads) <= PlacementPolicy().most_loads
         ordered_bytes += len(loads) * SIZES["note"]
-        # One load may overdraw the bucket, beside its burst.
+        # One load may overdraw the bucket beyond its burst.
         most = RATE * (second + 60) + SIZES["note"]
         assert ordered_bytes <= most
         done = {order.endpoint_id for order in loads}
