--- a/dahliashunt/decisions/attempt_ends.py
+++ b/dahliashunt/decisions/attempt_ends.py
@@ -104,11 +104,13 @@
         if not self._may_retry(now, tracked, end, delivered):
             return [self._final_answer(now, tracked, end, retry_after_ms)]
         if not self._state.fleet.serving(request.model):
-            after = self._state.model(request.model).retry_after(
+            after_ms = self._state.model(request.model).retry_after(
                 now, 0, self._state.rng
             )
             return [
-                self._dispatcher.refuse(tracked, ErrorKind.NO_ENDPOINT, after)
+                self._dispatcher.refuse(
+                    tracked, ErrorKind.NO_ENDPOINT, after_ms
+                )
             ]
         return self._dispatcher.place(now, tracked)
 
@@ -152,8 +154,8 @@
         elif end is AttemptEnd.NOT_RUN and retry_after_ms is not None:
             kind = ErrorKind.OVERLOADED
         state = self._state.model(tracked.request.model)
-        after = state.retry_after(now, retry_after_ms or 0, self._state.rng)
-        return self._dispatcher.refuse(tracked, kind, after)
+        after_ms = state.retry_after(now, retry_after_ms or 0, self._state.rng)
+        return self._dispatcher.refuse(tracked, kind, after_ms)
 
     def count_crash(
         self,
--- a/dahliashunt/decisions/dispatcher.py
+++ b/dahliashunt/decisions/dispatcher.py
@@ -74,10 +74,10 @@
         request = tracked.request
         queue = state.queue
         ahead = queue.place(tracked.tag)
-        left = request.first_token_by_ms - now
+        remaining_ms = request.first_token_by_ms - now
         tokens = request.prompt_tokens + OVERHEAD_TOKENS
         if not state.discipline.admits(
-            now, queue, left, ahead, tokens, state.drain()
+            now, queue, remaining_ms, ahead, tokens, state.drain()
         ):
             return [self.refuse_overloaded(now, tracked)]
         out: list[Decision] = []
@@ -105,13 +105,15 @@
         excess = 0.0
         if tracked.waiting is None and tracked.tag is not None:
             drain = state.drain()
-            left = tracked.request.first_token_by_ms - now
-            excess = drain.wait_ms(state.queue.place(tracked.tag)) - left
-        after = state.retry_after(now, excess, self._state.rng)
-        return self.refuse(tracked, ErrorKind.OVERLOADED, after)
+            remaining_ms = tracked.request.first_token_by_ms - now
+            excess = (
+                drain.wait_ms(state.queue.place(tracked.tag)) - remaining_ms
+            )
+        after_ms = state.retry_after(now, excess, self._state.rng)
+        return self.refuse(tracked, ErrorKind.OVERLOADED, after_ms)
 
     def refuse(
-        self, tracked: TrackedRequest, kind: ErrorKind, after: int | None
+        self, tracked: TrackedRequest, kind: ErrorKind, after_ms: int | None
     ) -> GiveUp:
         """Forget the request and return its refusal."""
         self.drop(tracked)
@@ -120,7 +122,7 @@
             tracked.request.request_id,
             kind,
             tracked.ran,
-            after,
+            after_ms,
             MESSAGE_BY_KIND[kind],
         )
 
@@ -247,21 +249,21 @@
             return None
         queue = state.queue
         first = state.discipline.next_index(queue)
-        choice = None
+        first_usable = None
         for index in range(first, min(len(queue), first + _LOOKAHEAD)):
             tracked = self._state.tracked_by_id[queue[index].request_id]
             query = self._routing_query(now, tracked)
             if not query.can_use(endpoint):
                 continue
-            if choice is None:
-                choice = tracked
+            if first_usable is None:
+                first_usable = tracked
                 if tracked.times_overtaken >= _MAX_OVERTAKES:
                     break
             if self._state.router.holds(query, endpoint):
-                if tracked is not choice:
-                    choice.times_overtaken += 1
+                if tracked is not first_usable:
+                    first_usable.times_overtaken += 1
                 return tracked
-        return choice
+        return first_usable
 
     def dispatch_waiting(self, now: int) -> list[Decision]:
         """Dispatch waiting requests of all models, then suspects."""
@@ -334,15 +336,19 @@
         while suspects wait.
         """
         serving = self._state.fleet.serving(request.model)
-        kept = self._state.suspect_queue.endpoint
-        if kept is None or kept not in serving or not kept.can_isolate(now):
-            kept = min(
+        endpoint = self._state.suspect_queue.endpoint
+        if (
+            endpoint is None
+            or endpoint not in serving
+            or not endpoint.can_isolate(now)
+        ):
+            endpoint = min(
                 (e for e in serving if e.can_isolate(now)),
                 key=lambda e: e.id_hash,
                 default=None,
             )
-        self._state.suspect_queue.endpoint = kept
-        return kept
+        self._state.suspect_queue.endpoint = endpoint
+        return endpoint
 
     def refuse_convicted(
         self, now: int, fingerprint: Fingerprint
@@ -367,6 +373,8 @@
             ]
             waiting += self._state.suspect_queue.waiting_for(model)
             for tracked in waiting:
-                after = state.retry_after(now, 0, self._state.rng)
-                out.append(self.refuse(tracked, ErrorKind.NO_ENDPOINT, after))
+                after_ms = state.retry_after(now, 0, self._state.rng)
+                out.append(
+                    self.refuse(tracked, ErrorKind.NO_ENDPOINT, after_ms)
+                )
         return out
--- a/dahliashunt/decisions/drain.py
+++ b/dahliashunt/decisions/drain.py
@@ -42,7 +42,7 @@
         self._max_ms = max_retry_after_ms
         self._tokens = _ANSWER_PRIOR_TOKENS * _PRIOR_ANSWERS
         self._answers = _PRIOR_ANSWERS
-        self._booked_until_ms = 0.0
+        self._reserved_until_ms = 0.0
 
     def produced(self, tokens: int) -> None:
         """Record generated tokens of online answers."""
@@ -63,7 +63,7 @@
         return self.answer_tokens * step_ms / max(1, running)
 
     def wait_ms(self, place: int, gap_ms: float, admitted: bool) -> float:
-        """Return the expected wait at `place`, or a quantile if new.
+        """Return the expected wait, or its 95% quantile for a new request.
 
         Ends are nearly independent, so that the wait for n of them varies
         by the root of n. Admitted requests are judged by the mean.
@@ -74,8 +74,8 @@
     def retry_after_ms(self, now: int, waiting: int, gap_ms: float) -> int:
         """Reserve a place for a refused caller; return its Retry-After."""
         soonest = now + (waiting + 1) * gap_ms
-        place = max(self._booked_until_ms + gap_ms, soonest)
-        self._booked_until_ms = min(place, now + self._max_ms)
+        place = max(self._reserved_until_ms + gap_ms, soonest)
+        self._reserved_until_ms = min(place, now + self._max_ms)
         spread = 1 + _JITTER * self._rng.random()
-        wait = (self._booked_until_ms - now) * spread
+        wait = (self._reserved_until_ms - now) * spread
         return max(1, min(self._max_ms, int(wait)))
--- a/dahliashunt/decisions/entry.py
+++ b/dahliashunt/decisions/entry.py
@@ -87,11 +87,11 @@
         if limits.tokens_a_second is not None:
             output = state.output(request.max_tokens)
             tracked.charged_tokens = max(1.0, request.prompt_tokens + output)
-            after = self._state.buckets.take(
+            after_ms = self._state.buckets.take(
                 now, request.caller, tracked.charged_tokens, limits
             )
-            if after:
-                return [self._refuse(request, ErrorKind.OVER_LIMIT, after)]
+            if after_ms:
+                return [self._refuse(request, ErrorKind.OVER_LIMIT, after_ms)]
         self._state.tracked_by_id[request.request_id] = tracked
         return self._dispatcher.place(now, tracked)
 
@@ -296,19 +296,21 @@
         if not self._state.fleet.serving(request.model):
             # No state for unknown models: clients may send any name.
             policy = self._state.policy
-            after = policy.retry_after_min_ms * self._state.rng.uniform(2, 6)
-            return self._refuse(request, ErrorKind.NO_ENDPOINT, int(after))
+            after_ms = policy.retry_after_min_ms * self._state.rng.uniform(
+                2, 6
+            )
+            return self._refuse(request, ErrorKind.NO_ENDPOINT, int(after_ms))
         if request.first_token_by_ms <= now:
-            after = self._state.model(request.model).retry_after(
+            after_ms = self._state.model(request.model).retry_after(
                 now, 0, self._state.rng
             )
-            return self._refuse(request, ErrorKind.TIMED_OUT, after)
+            return self._refuse(request, ErrorKind.TIMED_OUT, after_ms)
         return None
 
     def _refuse(
-        self, request: OnlineRequest, kind: ErrorKind, after: int | None
+        self, request: OnlineRequest, kind: ErrorKind, after_ms: int | None
     ) -> GiveUp:
         self._state.refused_by_kind[kind] += 1
         return GiveUp(
-            request.request_id, kind, Ran.NO, after, MESSAGE_BY_KIND[kind]
+            request.request_id, kind, Ran.NO, after_ms, MESSAGE_BY_KIND[kind]
         )
--- a/dahliashunt/decisions/fleet.py
+++ b/dahliashunt/decisions/fleet.py
@@ -65,7 +65,7 @@
         self.probing_by_id: dict[EndpointId, Endpoint] = {}
 
     def add_endpoint(self, now: int, info: EndpointInfo) -> Endpoint:
-        """Add an endpoint, or restore a gone one with fresh state."""
+        """Add an endpoint, update its models, or restore a gone one."""
         old = self.by_id.get(info.endpoint_id)
         endpoint = Endpoint(
             info.endpoint_id,
@@ -85,7 +85,7 @@
     def mark_gone(
         self, now: int, endpoint_id: EndpointId, loss: Loss
     ) -> Endpoint | None:
-        """Give an endpoint no more work."""
+        """Stop dispatching to an endpoint."""
         endpoint = self.by_id.get(endpoint_id)
         if endpoint is None:
             return None
@@ -116,17 +116,20 @@
         endpoint = self.by_id.get(report.endpoint_id)
         if endpoint is None:
             return False
-        at = now - report.age_ms
+        reported_at = now - report.age_ms
         if endpoint.state is EndpointState.GONE:
-            back = endpoint.loss is Loss.CRASHED and report.models
-            if not back or at <= endpoint.gone_ms:
+            restorable = endpoint.loss is Loss.CRASHED and report.models
+            if not restorable or reported_at <= endpoint.gone_ms:
                 return False
             info = EndpointInfo(
                 endpoint.endpoint_id, endpoint.data_centre, report.models
             )
             self.add_endpoint(now, info)
             return True
-        if endpoint.reported_ms is not None and at < endpoint.reported_ms:
+        if (
+            endpoint.reported_ms is not None
+            and reported_at < endpoint.reported_ms
+        ):
             return False
         if report.running_online + report.waiting_online == 0:
             # Idle sooner than predicted; a remaining back-off would refuse
@@ -134,14 +137,18 @@
             endpoint.back_off_until_ms = 0
             endpoint.busy_until_ms = 0
         endpoint.quarantined_until_ms = (
-            at + self._policy.report_stale_ms if report.quarantined else 0
+            reported_at + self._policy.report_stale_ms
+            if report.quarantined
+            else 0
         )
         own = sum(
-            1 for sent in endpoint.sent_ms_by_request.values() if sent <= at
+            1
+            for sent in endpoint.sent_ms_by_request.values()
+            if sent <= reported_at
         )
         load = report.running_online + report.waiting_online
         endpoint.external_load = float(max(0, load - own))
-        endpoint.reported_ms = at
+        endpoint.reported_ms = reported_at
         deviation = endpoint.external_load - self.mean_external_load
         self.mean_external_load += _FLEET_EWMA_WEIGHT * deviation
         return self._set_models(endpoint, report.models)
@@ -156,14 +163,16 @@
         The hash of a tuple of integers is the same in every process, so
         that all entries agree.
         """
-        known = self._ranked_by_key.get((model, key))
-        if known is None:
+        ranking = self._ranked_by_key.get((model, key))
+        if ranking is None:
             serving = self.serving(model)
             if len(self._ranked_by_key) >= _RANKING_CACHE_SIZE:
                 self._ranked_by_key.clear()
-            known = nlargest(2, serving, key=lambda e: hash((e.id_hash, key)))
-            self._ranked_by_key[(model, key)] = known
-        return known
+            ranking = nlargest(
+                2, serving, key=lambda e: hash((e.id_hash, key))
+            )
+            self._ranked_by_key[(model, key)] = ranking
+        return ranking
 
     def local(self, model: ModelId) -> list[Endpoint]:
         """Return the endpoints of `model` in the entry's data centre."""
@@ -190,14 +199,14 @@
         now: int,
         endpoint: Endpoint,
         ms: float,
-        ahead: float,
+        pending_tokens: float,
         target_ms: float,
     ) -> None:
         """Update speed and limit by the time to a first token.
 
-        `ahead` is the number of pending tokens at dispatch, own included.
+        `pending_tokens` are those at dispatch, the own prompt included.
         """
-        speed = ms / (ahead + OVERHEAD_TOKENS)
+        speed = ms / (pending_tokens + OVERHEAD_TOKENS)
         endpoint.ms_per_token += _EWMA_WEIGHT * (speed - endpoint.ms_per_token)
         endpoint.limit.sample(now, ms, target_ms, endpoint.in_flight)
         old = endpoint.first_token_ms
@@ -220,8 +229,8 @@
         """Record a failed attempt; eject after several in a row."""
         endpoint.failures += 1
         probing = endpoint.state is EndpointState.PROBING
-        many = endpoint.failures >= self._policy.eject_failures
-        if endpoint.state is EndpointState.GONE or not (probing or many):
+        too_many = endpoint.failures >= self._policy.eject_failures
+        if endpoint.state is EndpointState.GONE or not (probing or too_many):
             return
         if probing or self._ejection_allowed(endpoint):
             self._eject(now, endpoint)
@@ -267,17 +276,21 @@
     def _ejection_allowed(self, endpoint: Endpoint) -> bool:
         for model in endpoint.models:
             serving = self.serving(model)
-            out = sum(1 for e in serving if e.state is not EndpointState.UP)
-            if out + 1 > self._policy.eject_part * len(serving):
+            unavailable = sum(
+                1 for e in serving if e.state is not EndpointState.UP
+            )
+            if unavailable + 1 > self._policy.eject_part * len(serving):
                 return False
         return True
 
     def _eject(self, now: int, endpoint: Endpoint) -> None:
         policy = self._policy
-        span = min(policy.eject_max_ms, policy.eject_ms << endpoint.ejections)
+        ejected_for_ms = min(
+            policy.eject_max_ms, policy.eject_ms << endpoint.ejections
+        )
         self.probing_by_id.pop(endpoint.endpoint_id, None)
         endpoint.state = EndpointState.EJECTED
-        endpoint.ejected_until_ms = now + span
+        endpoint.ejected_until_ms = now + ejected_for_ms
         endpoint.ejections = min(endpoint.ejections + 1, 10)
         endpoint.failures = 0
 
@@ -297,9 +310,11 @@
         for endpoint in self.by_id.values():
             if endpoint.state is EndpointState.GONE:
                 continue
-            near = endpoint.data_centre == self.data_centre
-            part = self._local_by_model if near else self._remote_by_model
+            is_local = endpoint.data_centre == self.data_centre
+            by_model = (
+                self._local_by_model if is_local else self._remote_by_model
+            )
             for model in endpoint.models:
-                part.setdefault(model, []).append(endpoint)
+                by_model.setdefault(model, []).append(endpoint)
                 self._all_by_model.setdefault(model, []).append(endpoint)
         self._ranked_by_key = {}
--- a/dahliashunt/decisions/suspects.py
+++ b/dahliashunt/decisions/suspects.py
@@ -67,8 +67,8 @@
 
     def __init__(self, policy: EntryPolicy):
         self._policy = policy
-        self._suspicion_by: dict[Fingerprint, _Suspicion] = {}
-        self._convicted_until_by: dict[Fingerprint, int] = {}
+        self._suspicions: dict[Fingerprint, _Suspicion] = {}
+        self._conviction_ends: dict[Fingerprint, int] = {}
         self._new: list[Conviction] = []
         self._new_suspects: list[Fingerprint] = []
 
@@ -86,7 +86,7 @@
         """
         if self.convicted_until(now, fingerprint) is not None:
             return True
-        suspicion = self._suspicion_by.pop(fingerprint, None)
+        suspicion = self._suspicions.pop(fingerprint, None)
         if suspicion is None or suspicion.until_ms <= now:
             suspicion = _Suspicion(0, 0)
         suspicion.crashes += weight
@@ -98,8 +98,8 @@
             self._new.append(Conviction(fingerprint, for_ms))
             del self._new[: -self._policy.fingerprints_max]
             return True
-        self._suspicion_by[fingerprint] = suspicion
-        _evict_oldest(self._suspicion_by, self._policy.fingerprints_max)
+        self._suspicions[fingerprint] = suspicion
+        _evict_oldest(self._suspicions, self._policy.fingerprints_max)
         if crashes >= 1:
             self._new_suspects.append(fingerprint)
             del self._new_suspects[: -self._policy.fingerprints_max]
@@ -107,29 +107,29 @@
 
     def suspect(self, now: int, fingerprint: Fingerprint) -> None:
         """Apply a suspicion received from another entry."""
-        if fingerprint not in self._suspicion_by:
+        if fingerprint not in self._suspicions:
             until_ms = now + self._policy.suspect_for_ms
-            self._suspicion_by[fingerprint] = _Suspicion(1, until_ms)
-            _evict_oldest(self._suspicion_by, self._policy.fingerprints_max)
+            self._suspicions[fingerprint] = _Suspicion(1, until_ms)
+            _evict_oldest(self._suspicions, self._policy.fingerprints_max)
 
     def convict(self, now: int, fingerprint: Fingerprint, for_ms: int) -> None:
         """Convict the fingerprint for `for_ms`."""
-        self._suspicion_by.pop(fingerprint, None)
-        self._convicted_until_by.pop(fingerprint, None)
-        self._convicted_until_by[fingerprint] = now + for_ms
-        _evict_oldest(self._convicted_until_by, self._policy.fingerprints_max)
+        self._suspicions.pop(fingerprint, None)
+        self._conviction_ends.pop(fingerprint, None)
+        self._conviction_ends[fingerprint] = now + for_ms
+        _evict_oldest(self._conviction_ends, self._policy.fingerprints_max)
 
     def cleared(self, fingerprint: Fingerprint) -> None:
         """Remove the suspicion after a completed run."""
-        self._suspicion_by.pop(fingerprint, None)
+        self._suspicions.pop(fingerprint, None)
 
     def is_suspect(self, now: int, fingerprint: Fingerprint) -> bool:
         """Return whether the fingerprint may run only alone."""
-        suspicion = self._suspicion_by.get(fingerprint)
+        suspicion = self._suspicions.get(fingerprint)
         if suspicion is None or suspicion.crashes < 1:
             return False
         if suspicion.until_ms <= now:
-            del self._suspicion_by[fingerprint]
+            del self._suspicions[fingerprint]
             return False
         return True
 
@@ -137,9 +137,9 @@
         self, now: int, fingerprint: Fingerprint
     ) -> int | None:
         """Return the time until which it is refused, or None."""
-        until = self._convicted_until_by.get(fingerprint)
+        until = self._conviction_ends.get(fingerprint)
         if until is not None and until <= now:
-            del self._convicted_until_by[fingerprint]
+            del self._conviction_ends[fingerprint]
             return None
         return until
 
--- a/dahliashunt/decisions/tests/test_entry_random.py
+++ b/dahliashunt/decisions/tests/test_entry_random.py
@@ -22,7 +22,7 @@
     running: bool = False
     answered: bool = False
     may_have_run: bool = False
-    gone: bool = False
+    disconnected: bool = False
 
 
 class Driver:
@@ -38,14 +38,18 @@
     def check(self, out):
         for decision in out:
             state = self.state_by_id[decision.request_id]
-            assert not state.answered and not state.running and not state.gone
+            assert (
+                not state.answered
+                and not state.running
+                and not state.disconnected
+            )
             if isinstance(decision, Dispatch):
                 assert state.may_repeat or not state.may_have_run
                 state.running = True
             else:
                 state.answered = True
-                told_no = decision.ran is Ran.NO
-                assert told_no == (not state.may_have_run)
+                reported_not_run = decision.ran is Ran.NO
+                assert reported_not_run == (not state.may_have_run)
 
     def choose_request(self, running):
         ids = [i for i, f in self.state_by_id.items() if f.running == running]
@@ -71,7 +75,7 @@
         end = forced_end or self.rng.choice(list(AttemptEnd))
         state = self.state_by_id[request_id]
         state.running = False
-        state.answered = end is AttemptEnd.DONE or state.gone
+        state.answered = end is AttemptEnd.DONE or state.disconnected
         state.may_have_run |= end is not AttemptEnd.NOT_RUN
         after = self.rng.choice((None, 50)) if not forced_end else None
         alongside = (f"f{self.rng.randrange(40)}",)
@@ -82,8 +86,8 @@
         request_id = self.choose_request(running=self.rng.random() < 0.5)
         if request_id is not None:
             state = self.state_by_id[request_id]
-            if not state.gone:
-                state.gone = True
+            if not state.disconnected:
+                state.disconnected = True
                 state.answered = not state.running
                 self.check(self.entry.caller_gone(self.now, request_id))
 
@@ -105,7 +109,7 @@
             )  # fmt: skip
             self.check(self.entry.report(self.now, report))
 
-    def change_policy(self):
+    def send_other_events(self):
         limits = CallerLimits(self.rng.random() * 3, 2_000)
         self.entry.set_limits(self.now, f"c{self.rng.randrange(6)}", limits)
         name = f"f{self.rng.randrange(40)}"
@@ -127,8 +131,8 @@
             if all(state.answered for state in self.state_by_id.values()):
                 return
             self.end_attempt(AttemptEnd.DONE)
-            wake = self.entry.wake_ms()
-            self.now = max(self.now + 1, wake or 0)
+            next_tick_ms = self.entry.wake_ms()
+            self.now = max(self.now + 1, next_tick_ms or 0)
             self.tick()
         raise AssertionError("a request was not answered in 20,000 steps")
 
@@ -144,7 +148,7 @@
     steps += [
         driver.disconnect_caller,
         driver.change_endpoint,
-        driver.change_policy,
+        driver.send_other_events,
     ]
     for _ in range(1_500):
         driver.now += driver.rng.randrange(20)
--- a/dahliashunt/decisions/tests/test_placement.py
+++ b/dahliashunt/decisions/tests/test_placement.py
@@ -64,11 +64,13 @@
 
 
 def test_falling_demand_drains_before_unloading(placement):
-    busy = fleet((NOTE,), (NOTE,), (NOTE,))
+    endpoints = fleet((NOTE,), (NOTE,), (NOTE,))
     wanted = (ModelDemand(NOTE, 1, 5, 0.2),)
     drained = []
     for minute in range(40):
-        orders = placement.plan(minute * MINUTE, busy, wanted, RATE, SIZES)
+        orders = placement.plan(
+            minute * MINUTE, endpoints, wanted, RATE, SIZES
+        )
         assert not orders_of_kind(orders, PlacementKind.UNLOAD)
         drained += orders_of_kind(orders, PlacementKind.DRAIN)
     assert drained
@@ -98,7 +100,7 @@
     model_on = {f"e{n}": NOTE for n in range(3)}
     loading: dict[str, int] = {}
     wanted = (ModelDemand(NOTE_2, 2, 3, 2.0),)
-    least = 3
+    min_serving = 3
     draining: set[str] = set()
     for tick in range(400):
         now = tick * 5_000
@@ -114,7 +116,7 @@
             for n, e in enumerate(model_on)
         )
         serving = sum(1 for e in model_on if model_on[e] and e not in draining)
-        least = min(least, serving)
+        min_serving = min(min_serving, serving)
         for order in placement.plan(now, endpoints, wanted, RATE, SIZES):
             endpoint_id = order.endpoint_id
             if order.kind is PlacementKind.DRAIN:
@@ -127,7 +129,7 @@
         for endpoint_id in [e for e, at in loading.items() if at <= now]:
             model_on[endpoint_id] = NOTE_2
             del loading[endpoint_id]
-    assert least == 2
+    assert min_serving == 2
     assert list(model_on.values()) == [NOTE_2] * 3
 
 
