--- a/dahliashunt/decisions/endpoint.py
+++ b/dahliashunt/decisions/endpoint.py
@@ -1,4 +1,4 @@
-"""One endpoint as one entry sees it."""
+"""An endpoint as one entry sees it."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -13,20 +13,15 @@
 
 __all__ = ["Endpoint", "EndpointState"]
 
-_KEEP_FREE_FROM = 4
-"""Limit from which places are kept for callers under their share.
+_RESERVE_MIN_LIMIT = 4
+"""Lowest limit at which places are reserved for callers under their share."""
 
-Each of several entries has its part of an endpoint's places: three before
-endpoints of 20 have limits of six or seven, and with a higher bound none of
-them would keep a place.
-"""
-
-_KEEP_FREE = 0.1
-"""Part of the places that is kept for them, one at least."""
+_RESERVED_FRACTION = 0.1
+"""Reserved part of the limit; at least one place."""
 
 
 class EndpointState(enum.Enum):
-    """Whether an endpoint is given work."""
+    """Availability of an endpoint for requests."""
 
     UP = "up"
     EJECTED = "ejected"
@@ -36,33 +31,33 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """One endpoint as this entry sees it.
+    """An endpoint as this entry sees it.
 
     Attributes
     ----------
-    others : float
-        Load by other entries and batch at the time of the last report.
+    external_load : float
+        Load by other entries and by batch work in the last report.
     first_token_ms : float
         Moving average of the time from dispatch to the first token.
     ms_per_token, pending_tokens : float
-        Learned speed of prefill; tokens sent there whose first token
-        has not come.
+        Estimated speed of prefill; prompt tokens of requests that wait
+        for their first token.
     reserved_by : RequestId or None
-        The suspect that runs there alone.
+        Suspect that runs there alone.
     busy_until_ms : int
-        Until when no suspect is sent there: other work held one up.
-    blamed : set of Fingerprint
-        Those to which its last crash was counted.
+        Time before which no suspect is sent there.
+    crash_counted : set of Fingerprint
+        Fingerprints for which its last crash was already counted.
     """
 
     endpoint_id: EndpointId
     data_centre: DataCentreId
     models: frozenset[ModelId]
     limit: object
-    seed: int
+    id_hash: int
     sent_ms_by_request: dict[RequestId, int] = field(default_factory=dict)
     state: EndpointState = EndpointState.UP
-    others: float = 0.0
+    external_load: float = 0.0
     reported_ms: int | None = None
     first_token_ms: float = 0.0
     sampled_ms: int = 0
@@ -76,21 +71,21 @@
     ms_per_token: float = 0.0
     pending_tokens: float = 0.0
     gone_ms: int = 0
-    loss: LossReason | None = None
-    blamed: set[Fingerprint] = field(default_factory=set)
+    loss: Loss | None = None
+    crash_counted: set[Fingerprint] = field(default_factory=set)
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests this entry has there."""
+        """Number of this entry's requests there."""
         return len(self.sent_ms_by_request)
 
     @property
     def pending_ms(self) -> float:
-        """Return how long the prefills that are pending there take."""
+        """Estimated time of the pending prefills."""
         return self.pending_tokens * self.ms_per_token
 
     def is_open(self, now: int) -> bool:
-        """Tell whether it is up and not kept for a suspect."""
+        """Return whether it is up, not reserved and not backing off."""
         return (
             self.state is EndpointState.UP
             and self.reserved_by is None
@@ -98,13 +93,13 @@
         )
 
     def can_isolate(self, now: int) -> bool:
-        """Tell whether a suspect may be sent there to run alone."""
+        """Return whether a suspect may be sent there to run alone."""
         return self.is_open(now) and now >= self.busy_until_ms
 
     def can_take(self, now: int, over_share: bool = False) -> bool:
-        """Tell whether one more may be sent there now.
+        """Return whether one more request may be sent there now.
 
-        The last places are kept from callers over their share.
+        The last places are reserved for callers under their share.
         """
         if self.reserved_by is not None or now < self.back_off_until_ms:
             return False
@@ -112,8 +107,8 @@
             return False
         if self.state is EndpointState.UP:
             used = len(self.sent_ms_by_request)
-            if over_share and self.limit.value >= _KEEP_FREE_FROM:
-                used += max(1.0, self.limit.value * _KEEP_FREE)
+            if over_share and self.limit.value >= _RESERVE_MIN_LIMIT:
+                used += max(1.0, self.limit.value * _RESERVED_FRACTION)
             return self.limit.has_room(used) and self.limit.in_time(
                 self.pending_ms
             )
--- a/dahliashunt/decisions/fleet.py
+++ b/dahliashunt/decisions/fleet.py
@@ -1,20 +1,19 @@
-"""What one entry knows of the endpoints: load, speed, failures, state.
+"""State of the endpoints at one entry: load, speed, failures, ejection.
 
-Load pattern: an endpoint fails all it gets, at once, so that it always
-looks idle and draws the traffic.
+Load pattern: an endpoint fails all requests at once, so that it always
+looks idle and attracts the traffic.
 
-Without ejection one failing endpoint of five uses up the retry budget, and
-half of all answers are lost.
+Without it one failing endpoint uses up the retry budget, and its part of
+the answers is lost.
 
-Three failures in a row eject: a single one happens, and three by chance
-are rare at any failure rate that an endpoint may have. It is out for 2 s,
-doubled each time up to a minute, and comes back by one request at a time
-(outlier detection as in Envoy). At most about a third of a model's
-endpoints may be out, for failures that all share say nothing about one.
-A crash ejects without regard to that part: a crashed engine is down.
+Rules: several failures in a row eject an endpoint for a time that doubles
+with each ejection; it returns on probe, with one request at a time (outlier
+detection as in Envoy). The ejected part of a model's endpoints is capped,
+since failures that all endpoints share say nothing about one; crashes
+ignore the cap.
 
-An endpoint that is gone comes back with `Fleet.up`; a crashed one also
-with a newer report that lists models, since its agent lived on.
+A gone endpoint comes back with `Fleet.add_endpoint`; a crashed one also with
+a newer report that lists models, since its agent is still running.
 """
 
 from heapq import nlargest
@@ -33,24 +32,24 @@
 
 __all__ = ["OVERHEAD_TOKENS", "Fleet"]
 
-_LEARN = 0.2
+_EWMA_WEIGHT = 0.2
 """Weight of one new sample in a moving average."""
 
-_LEARN_FLEET = 0.05
-"""The same for a mean over all endpoints."""
+_FLEET_EWMA_WEIGHT = 0.05
+"""Weight of one new sample in a mean over all endpoints."""
 
 OVERHEAD_TOKENS = 300
-"""What a first token costs besides its prompt: hops and one step."""
+"""Cost of network hops and one decode step, in prompt tokens."""
 
-_RANKED_MAX = 4_096
-"""Prefixes whose rank is remembered."""
+_RANKING_CACHE_SIZE = 4_096
+"""Prefixes whose ranking is cached."""
 
-_FORGET_MS = 600_000
-"""How long a crashed endpoint is waited for."""
+_GONE_RETENTION_MS = 600_000
+"""Time for which a gone endpoint is kept, for a later report."""
 
 
 class Fleet:
-    """The endpoints by id and by model, with ejection of failing ones."""
+    """Endpoints by id and by model, with ejection of failing ones."""
 
     def __init__(self, policy: EntryPolicy, data_centre: DataCentreId):
         self._policy = policy
@@ -60,13 +59,13 @@
         self._remote_by_model: dict[ModelId, list[Endpoint]] = {}
         self._all_by_model: dict[ModelId, list[Endpoint]] = {}
         self._ranked_by_key: dict[tuple[ModelId, int], list[Endpoint]] = {}
-        self.others_mean = 0.0
+        self.mean_external_load = 0.0
         self.limit_mean = float(policy.limit_initial)
         self.in_flight = 0
         self.probing_by_id: dict[EndpointId, Endpoint] = {}
 
-    def up(self, now: int, info: EndpointInfo) -> Endpoint:
-        """Add an endpoint, or bring one back with a clean slate."""
+    def add_endpoint(self, now: int, info: EndpointInfo) -> Endpoint:
+        """Add an endpoint, update its models, or restore a gone one."""
         old = self.by_id.get(info.endpoint_id)
         endpoint = Endpoint(
             info.endpoint_id,
@@ -83,10 +82,10 @@
         self._index()
         return endpoint
 
-    def gone(
-        self, now: int, endpoint_id: EndpointId, loss: LossReason
+    def mark_gone(
+        self, now: int, endpoint_id: EndpointId, loss: Loss
     ) -> Endpoint | None:
-        """Give an endpoint no more work."""
+        """Stop dispatching to an endpoint."""
         endpoint = self.by_id.get(endpoint_id)
         if endpoint is None:
             return None
@@ -94,12 +93,12 @@
         endpoint.gone_ms = now
         endpoint.loss = loss
         self.probing_by_id.pop(endpoint.endpoint_id, None)
-        self._forget_long_gone(now)
+        self._purge_gone(now)
         self._index()
         return endpoint
 
     def forget_if_idle(self, endpoint: Endpoint) -> None:
-        """Drop an endpoint that is gone and has nothing in flight."""
+        """Drop a gone endpoint without requests in flight."""
         if (
             endpoint.state is EndpointState.GONE
             and endpoint.loss is not LossReason.CRASHED
@@ -109,104 +108,117 @@
             del self.by_id[endpoint.endpoint_id]
 
     def report(self, now: int, report: EndpointReport) -> bool:
-        """Take a load report, corrected by what was sent since.
+        """Apply a load report, corrected by requests sent since.
 
-        Returns whether the models that are served changed. A newer
-        report with models brings a crashed endpoint back: its agent
-        lived on beside the engine.
+        Returns whether the served models changed. A newer report with
+        models restores a crashed endpoint, whose agent is still running.
         """
         endpoint = self.by_id.get(report.endpoint_id)
         if endpoint is None:
             return False
-        at = now - report.age_ms
+        reported_at = now - report.age_ms
         if endpoint.state is EndpointState.GONE:
-            back = endpoint.loss is LossReason.CRASHED and report.models
-            if not back or at <= endpoint.gone_ms:
+            restorable = endpoint.loss is Loss.CRASHED and report.models
+            if not restorable or reported_at <= endpoint.gone_ms:
                 return False
             info = EndpointInfo(
                 endpoint.endpoint_id, endpoint.data_centre, report.models
             )
-            self.up(now, info)
+            self.add_endpoint(now, info)
             return True
-        if endpoint.reported_ms is not None and at < endpoint.reported_ms:
+        if (
+            endpoint.reported_ms is not None
+            and reported_at < endpoint.reported_ms
+        ):
             return False
         if report.running_online + report.waiting_online == 0:
-            # What it was busy with has ended sooner than it had foretold;
-            # to wait on would refuse callers beside an idle endpoint.
+            # Idle sooner than predicted; a remaining back-off would refuse
+            # callers beside an idle endpoint.
             endpoint.back_off_until_ms = 0
             endpoint.busy_until_ms = 0
         endpoint.quarantined_until_ms = (
-            at + self._policy.report_stale_ms if report.quarantined else 0
+            reported_at + self._policy.report_stale_ms
+            if report.quarantined
+            else 0
         )
         own = sum(
-            1 for sent in endpoint.sent_ms_by_request.values() if sent <= at
+            1
+            for sent in endpoint.sent_ms_by_request.values()
+            if sent <= reported_at
         )
         load = report.running_online + report.waiting_online
-        endpoint.others = float(max(0, load - own))
-        endpoint.reported_ms = at
-        off = endpoint.others - self.others_mean
-        self.others_mean += _LEARN_FLEET * off
+        endpoint.external_load = float(max(0, load - own))
+        endpoint.reported_ms = reported_at
+        deviation = endpoint.external_load - self.mean_external_load
+        self.mean_external_load += _FLEET_EWMA_WEIGHT * deviation
         return self._set_models(endpoint, report.models)
 
     def serving(self, model: ModelId) -> list[Endpoint]:
-        """Return the endpoints that hold `model`."""
+        """Return the endpoints that serve `model`."""
         return self._all_by_model.get(model, [])
 
     def ranked(self, model: ModelId, key: int) -> list[Endpoint]:
-        """Return the first two endpoints for `key` by rendezvous.
+        """Return the first two endpoints for `key` by rendezvous hashing.
 
         The hash of a tuple of integers is the same in every process, so
-        all entries rank alike.
+        that all entries agree.
         """
-        known = self._ranked_by_key.get((model, key))
-        if known is None:
+        ranking = self._ranked_by_key.get((model, key))
+        if ranking is None:
             serving = self.serving(model)
-            if len(self._ranked_by_key) >= _RANKED_MAX:
+            if len(self._ranked_by_key) >= _RANKING_CACHE_SIZE:
                 self._ranked_by_key.clear()
-            known = nlargest(2, serving, key=lambda e: hash((e.seed, key)))
-            self._ranked_by_key[(model, key)] = known
-        return known
+            ranking = nlargest(
+                2, serving, key=lambda e: hash((e.id_hash, key))
+            )
+            self._ranked_by_key[(model, key)] = ranking
+        return ranking
 
     def local(self, model: ModelId) -> list[Endpoint]:
-        """Return those in the entry's data centre."""
+        """Return the endpoints of `model` in the entry's data centre."""
         return self._local_by_model.get(model, [])
 
     def remote(self, model: ModelId) -> list[Endpoint]:
-        """Return those in other data centres."""
+        """Return the endpoints of `model` in other data centres."""
         return self._remote_by_model.get(model, [])
 
     def load(self, now: int, endpoint: Endpoint) -> float:
-        """Return the load there: own in flight plus that of others.
+        """Return own requests in flight plus external load.
 
-        A stale report says little; the mean of the fleet stands in for
-        it, for an endpoint that falls silent must not look idle.
+        A stale report is replaced by the fleet's mean, so that a silent
+        endpoint doesn't look idle.
         """
         reported = endpoint.reported_ms
         stale = self._policy.report_stale_ms
         if reported is None or now - reported > stale:
-            return len(endpoint.sent_ms_by_request) + self.others_mean
-        return len(endpoint.sent_ms_by_request) + endpoint.others
+            return len(endpoint.sent_ms_by_request) + self.mean_external_load
+        return len(endpoint.sent_ms_by_request) + endpoint.external_load
 
     def first_token(
         self,
         now: int,
         endpoint: Endpoint,
         ms: float,
-        ahead: float,
+        pending_tokens: float,
         target_ms: float,
     ) -> None:
-        """Learn from a first token, sent with `ahead` tokens pending."""
-        speed = ms / (ahead + OVERHEAD_TOKENS)
-        endpoint.ms_per_token += _LEARN * (speed - endpoint.ms_per_token)
+        """Update speed and limit by the time to a first token.
+
+        `pending_tokens` are those at dispatch, the own prompt included.
+        """
+        speed = ms / (pending_tokens + OVERHEAD_TOKENS)
+        endpoint.ms_per_token += _EWMA_WEIGHT * (speed - endpoint.ms_per_token)
         endpoint.limit.sample(now, ms, target_ms, endpoint.in_flight)
         old = endpoint.first_token_ms
-        endpoint.first_token_ms = old + _LEARN * (ms - old) if old else ms
+        endpoint.first_token_ms = (
+            old + _EWMA_WEIGHT * (ms - old) if old else ms
+        )
         endpoint.sampled_ms = now
-        off = endpoint.limit.value - self.limit_mean
-        self.limit_mean += _LEARN_FLEET * off
+        deviation = endpoint.limit.value - self.limit_mean
+        self.limit_mean += _FLEET_EWMA_WEIGHT * deviation
 
     def succeeded(self, endpoint: Endpoint) -> None:
-        """Note an attempt that ended well."""
+        """Record a successful attempt; end a probe."""
         endpoint.failures = 0
         if endpoint.state is EndpointState.PROBING:
             endpoint.state = EndpointState.UP
@@ -214,33 +226,33 @@
             self.probing_by_id.pop(endpoint.endpoint_id, None)
 
     def failed(self, now: int, endpoint: Endpoint) -> None:
-        """Note a failed attempt; eject after several in a row."""
+        """Record a failed attempt; eject after several in a row."""
         endpoint.failures += 1
         probing = endpoint.state is EndpointState.PROBING
-        many = endpoint.failures >= self._policy.eject_failures
-        if endpoint.state is EndpointState.GONE or not (probing or many):
+        too_many = endpoint.failures >= self._policy.eject_failures
+        if endpoint.state is EndpointState.GONE or not (probing or too_many):
             return
-        if probing or self._may_eject(endpoint):
+        if probing or self._ejection_allowed(endpoint):
             self._eject(now, endpoint)
 
     def crashed(self, now: int, endpoint: Endpoint) -> None:
-        """Note a crash: out at once, with no regard to the cap."""
+        """Record a crash; eject at once, regardless of the cap."""
         if endpoint.state is not EndpointState.GONE:
             self._eject(now, endpoint)
 
-    def probe_back(self, now: int) -> None:
-        """Put ejected endpoints whose time is over on probe."""
+    def start_probes(self, now: int) -> None:
+        """Put endpoints on probe whose ejection is over."""
         for endpoint in self.by_id.values():
             if (
                 endpoint.state is EndpointState.EJECTED
                 and endpoint.ejected_until_ms <= now
             ):
                 endpoint.state = EndpointState.PROBING
-                endpoint.blamed = set()
+                endpoint.crash_counted = set()
                 self.probing_by_id[endpoint.endpoint_id] = endpoint
 
     def next_probe_ms(self) -> int | None:
-        """Return when an ejected endpoint is next put on probe."""
+        """Return the time of the next probe, or None."""
         return min(
             (
                 endpoint.ejected_until_ms
@@ -250,31 +262,35 @@
             default=None,
         )
 
-    def _forget_long_gone(self, now: int) -> None:
-        # Crashed ones are kept for a report that brings them back; ids
-        # of replaced instances must not pile up.
+    def _purge_gone(self, now: int) -> None:
+        # Crashed endpoints are kept for a report that restores them, but
+        # ids of replaced instances must not accumulate.
         for endpoint in list(self.by_id.values()):
             if (
                 endpoint.state is EndpointState.GONE
-                and now - endpoint.gone_ms > _FORGET_MS
+                and now - endpoint.gone_ms > _GONE_RETENTION_MS
                 and not endpoint.in_flight
             ):
                 del self.by_id[endpoint.endpoint_id]
 
-    def _may_eject(self, endpoint: Endpoint) -> bool:
+    def _ejection_allowed(self, endpoint: Endpoint) -> bool:
         for model in endpoint.models:
-            all_of_it = self.serving(model)
-            out = sum(1 for e in all_of_it if e.state is not EndpointState.UP)
-            if out + 1 > self._policy.eject_part * len(all_of_it):
+            serving = self.serving(model)
+            unavailable = sum(
+                1 for e in serving if e.state is not EndpointState.UP
+            )
+            if unavailable + 1 > self._policy.eject_part * len(serving):
                 return False
         return True
 
     def _eject(self, now: int, endpoint: Endpoint) -> None:
         policy = self._policy
-        span = min(policy.eject_max_ms, policy.eject_ms << endpoint.ejections)
+        ejected_for_ms = min(
+            policy.eject_max_ms, policy.eject_ms << endpoint.ejections
+        )
         self.probing_by_id.pop(endpoint.endpoint_id, None)
         endpoint.state = EndpointState.EJECTED
-        endpoint.ejected_until_ms = now + span
+        endpoint.ejected_until_ms = now + ejected_for_ms
         endpoint.ejections = min(endpoint.ejections + 1, 10)
         endpoint.failures = 0
 
@@ -294,9 +310,11 @@
         for endpoint in self.by_id.values():
             if endpoint.state is EndpointState.GONE:
                 continue
-            near = endpoint.data_centre == self.data_centre
-            part = self._local_by_model if near else self._remote_by_model
+            is_local = endpoint.data_centre == self.data_centre
+            by_model = (
+                self._local_by_model if is_local else self._remote_by_model
+            )
             for model in endpoint.models:
-                part.setdefault(model, []).append(endpoint)
+                by_model.setdefault(model, []).append(endpoint)
                 self._all_by_model.setdefault(model, []).append(endpoint)
         self._ranked_by_key = {}
