--- a/dahliashunt/decisions/fair.py
+++ b/dahliashunt/decisions/fair.py
@@ -61,10 +61,10 @@
 
 ORDERS = Registry("order of callers")
 
-_FORGET_MS = 3_000
+_ACCOUNT_EXPIRY_MS = 3_000
 """What a caller used longer ago than any request waits is forgiven."""
 
-_SWEEP = 2
+_SWEEP_CHECKS = 2
 """Idle entries looked at for each new one; above 1 the table shrinks."""
 
 
@@ -148,10 +148,10 @@
         # stands still, so that age must end an account as well, or one
         # stays of each caller ever seen.
         accounts = self._account_by_caller
-        for _ in range(min(_SWEEP, len(accounts))):
+        for _ in range(min(_SWEEP_CHECKS, len(accounts))):
             caller = next(iter(accounts))
             account = accounts[caller]
-            old = now - account.at_ms > _FORGET_MS
+            old = now - account.at_ms > _ACCOUNT_EXPIRY_MS
             if not old and account.finish > self._virtual:
                 return
             del accounts[caller]
--- a/dahliashunt/decisions/limits.py
+++ b/dahliashunt/decisions/limits.py
@@ -15,12 +15,12 @@
 
 __all__ = ["Buckets", "LimitsTable"]
 
-_NEVER_MS = 60_000
+_BLOCKED_RETRY_MS = 60_000
 """When to ask again for a caller whose limit is 0."""
 
-_LEAST_WEIGHT = 0.001
+_MIN_WEIGHT = 0.001
 
-_SWEEP = 2
+_SWEEP_CHECKS = 2
 """Idle entries looked at for each new one; above 1 the table shrinks."""
 
 
@@ -48,8 +48,8 @@
         if limits is None or limits == self._default:
             self._by_caller.pop(caller, None)
             return
-        if limits.weight < _LEAST_WEIGHT:
-            limits = replace(limits, weight=_LEAST_WEIGHT)
+        if limits.weight < _MIN_WEIGHT:
+            limits = replace(limits, weight=_MIN_WEIGHT)
         self._by_caller[caller] = self._shared.setdefault(limits, limits)
 
     def get(self, caller: CallerId) -> CallerLimits:
@@ -64,7 +64,7 @@
     burst: float
     rate: float
 
-    def fill(self, now: int) -> None:
+    def refill(self, now: int) -> None:
         tokens = self.tokens + (now - self.at_ms) * self.rate
         self.tokens = min(self.burst, tokens)
         self.at_ms = now
@@ -99,10 +99,10 @@
         if limits.tokens_a_second is None:
             return 0
         if limits.tokens_a_second <= 0:
-            return _NEVER_MS
+            return _BLOCKED_RETRY_MS
         rate = limits.tokens_a_second / 1000
         burst = limits.tokens_a_second * limits.burst_s
-        bucket = self._filled(now, caller, rate, burst)
+        bucket = self._refilled(now, caller, rate, burst)
         missing = min(cost, burst) - bucket.tokens
         if missing > 1e-6:
             return max(1, -int(-missing // rate))
@@ -118,7 +118,7 @@
     def __len__(self) -> int:
         return len(self._by_caller)
 
-    def _filled(
+    def _refilled(
         self, now: int, caller: CallerId, rate: float, burst: float
     ) -> _Bucket:
         bucket = self._by_caller.get(caller)
@@ -127,14 +127,14 @@
             bucket = self._by_caller[caller] = _Bucket(burst, now, burst, rate)
         bucket.burst = burst
         bucket.rate = rate
-        bucket.fill(now)
+        bucket.refill(now)
         return bucket
 
     def _sweep(self, now: int) -> None:
         # A full bucket is like one never seen, so it can go.
-        for _ in range(min(_SWEEP, len(self._by_caller))):
+        for _ in range(min(_SWEEP_CHECKS, len(self._by_caller))):
             caller = next(iter(self._by_caller))
             bucket = self._by_caller.pop(caller)
-            bucket.fill(now)
+            bucket.refill(now)
             if bucket.tokens < bucket.burst:
                 self._by_caller[caller] = bucket
--- a/dahliashunt/decisions/meter.py
+++ b/dahliashunt/decisions/meter.py
@@ -18,32 +18,32 @@
 
 from dahliashunt.decisions.meter_messages import Reading
 from dahliashunt.decisions.meter_messages import Report
-from dahliashunt.decisions.rate_limits import forget_old
-from dahliashunt.decisions.rate_limits import KEPT_MS
+from dahliashunt.decisions.rate_limits import evict_old
+from dahliashunt.decisions.rate_limits import IDLE_EXPIRY_MS
 from dahliashunt.decisions.rate_limits import Level
-from dahliashunt.decisions.rate_limits import MOST_WAIT_MS
+from dahliashunt.decisions.rate_limits import MAX_RETRY_AFTER_MS
 from dahliashunt.decisions.rate_limits import RateLimit
 from dahliashunt.decisions.rate_limits import wait_ms
 
-__all__ = ["HEARD_MS", "HeardEntries", "Meter"]
+__all__ = ["ENTRY_SILENT_MS", "EntryLiveness", "Meter"]
 
-HEARD_MS = 2_200
+ENTRY_SILENT_MS = 2_200
 """An entry that was not heard for so long may be cut off: two renewals of
 its slots, which come every second."""
 
-KNOWN_MS = 15_000
+ENTRY_EXPIRY_MS = 15_000
 """An entry that was not heard for so long is gone: longer than cuts last."""
 
 MATURE_MS = 5_000
 """A window in which limits are judged: then a meter has seen all of it."""
 
 
-class HeardEntries:
+class EntryLiveness:
     """Which entries a process has heard, and when.
 
     Examples
     --------
-    >>> heard = HeardEntries()
+    >>> heard = EntryLiveness()
     >>> heard.note(0, "a")
     >>> heard.note(5_000, "b")
     >>> heard.share(5_000), len(heard)
@@ -63,17 +63,17 @@
     def share(self, now_ms: int) -> float:
         """Return the share of the known entries that were heard of late."""
         for entry, heard_ms in list(self._ms_by_entry.items()):
-            if now_ms - heard_ms > KNOWN_MS:
+            if now_ms - heard_ms > ENTRY_EXPIRY_MS:
                 del self._ms_by_entry[entry]
         late = sum(
-            now_ms - heard_ms > HEARD_MS
+            now_ms - heard_ms > ENTRY_SILENT_MS
             for heard_ms in self._ms_by_entry.values()
         )
         return 1 - late / max(1, len(self._ms_by_entry))
 
 
 @dataclass(slots=True)
-class _Counted:
+class _EntryCount:
     total: int
     sequence: int = -1
     granted: int = 0
@@ -81,13 +81,13 @@
 
 
 @dataclass(slots=True)
-class _Metered:
+class _WorkspaceUse:
     since_ms: int
     limit: RateLimit
     level: Level = field(default_factory=Level)
     heard_ms: int = 0
-    turn_ms: float = 0.0
-    counted_by_life: dict[tuple, _Counted] = field(default_factory=dict)
+    next_retry_ms: float = 0.0
+    count_by_life: dict[tuple, _EntryCount] = field(default_factory=dict)
 
 
 class Meter:
@@ -101,99 +101,99 @@
     Notes
     -----
     A report costs O(1); memory is proportional to the workspaces and the
-    entries that were active in the last `KEPT_MS`.
+    entries that were active in the last `IDLE_EXPIRY_MS`.
     """
 
     def __init__(self):
-        self.heard = HeardEntries()
-        self._metered_by_workspace: dict[int, _Metered] = {}
+        self.heard = EntryLiveness()
+        self._use_by_workspace: dict[int, _WorkspaceUse] = {}
 
     def __len__(self) -> int:
-        return len(self._metered_by_workspace)
+        return len(self._use_by_workspace)
 
     def report(self, now_ms: int, asker, report: Report) -> Reading:
         """Count a report of `asker`; decide on the request it wants."""
         self.heard.note(now_ms, asker)
-        metered = self._metered(now_ms, report)
-        counted = self._counted(now_ms, metered, asker, report)
+        use = self._workspace_use(now_ms, report)
+        counted = self._entry_count(now_ms, use, asker, report)
         granted = 0
         if report.sequence > counted.sequence:
-            granted = self._count(now_ms, metered, counted, report)
+            granted = self._count(now_ms, use, counted, report)
         elif report.sequence == counted.sequence:
             # A doubled report gets the answer once more.
             granted = counted.granted
-        after_ms = self._turn(now_ms, metered, report.wanted - granted)
+        after_ms = self._retry_after_ms(now_ms, use, report.wanted - granted)
         return Reading(
             workspace=report.workspace,
             life=report.life,
             sequence=report.sequence,
             counted=counted.total,
-            level=metered.level.at(now_ms, 0),
-            mature=now_ms - metered.since_ms >= MATURE_MS,
+            level=use.level.at(now_ms, 0),
+            mature=now_ms - use.since_ms >= MATURE_MS,
             granted=granted,
             wait_ms=after_ms,
             entries=len(self.heard),
-            newer=_newer(metered.limit, report.limit),
+            newer=_newer(use.limit, report.limit),
         )
 
-    def _metered(self, now_ms, report):
-        metered = self._metered_by_workspace.get(report.workspace)
-        if metered is None:
-            forget_old(
-                self._metered_by_workspace,
-                lambda held: now_ms - held.heard_ms > KEPT_MS,
+    def _workspace_use(self, now_ms, report):
+        use = self._use_by_workspace.get(report.workspace)
+        if use is None:
+            evict_old(
+                self._use_by_workspace,
+                lambda held: now_ms - held.heard_ms > IDLE_EXPIRY_MS,
             )
-            metered = _Metered(now_ms, report.limit)
-            self._metered_by_workspace[report.workspace] = metered
-        elif report.limit.revision > metered.limit.revision:
+            use = _WorkspaceUse(now_ms, report.limit)
+            self._use_by_workspace[report.workspace] = use
+        elif report.limit.revision > use.limit.revision:
             # What was let in so far was paid at the former rate.
-            metered.level.at(now_ms, self._part(now_ms, metered).rate)
-            metered.limit = report.limit
-        metered.heard_ms = now_ms
-        return metered
+            use.level.at(now_ms, self._reachable_limit(now_ms, use).rate)
+            use.limit = report.limit
+        use.heard_ms = now_ms
+        return use
 
-    def _counted(self, now_ms, metered, asker, report):
+    def _entry_count(self, now_ms, use, asker, report):
         key = (asker, report.life)
-        counted = metered.counted_by_life.get(key)
+        counted = use.count_by_life.get(key)
         if counted is None:
-            forget_old(
-                metered.counted_by_life,
-                lambda held: now_ms - held.heard_ms > KEPT_MS,
+            evict_old(
+                use.count_by_life,
+                lambda held: now_ms - held.heard_ms > IDLE_EXPIRY_MS,
             )
-            counted = _Counted(report.since)
-            metered.counted_by_life[key] = counted
+            counted = _EntryCount(report.since)
+            use.count_by_life[key] = counted
         counted.heard_ms = now_ms
         return counted
 
-    def _count(self, now_ms, metered, counted, report):
+    def _count(self, now_ms, use, counted, report):
         """Count what came, and what of the wanted fits; return the latter."""
-        limit = self._part(now_ms, metered)
-        metered.level.add(now_ms, limit.rate, report.total - counted.total)
-        free = limit.room - metered.level.at(now_ms, limit.rate)
+        limit = self._reachable_limit(now_ms, use)
+        use.level.add(now_ms, limit.rate, report.total - counted.total)
+        free = limit.room - use.level.at(now_ms, limit.rate)
         granted = min(report.wanted, max(0, int(free)))
-        metered.level.add(now_ms, limit.rate, granted)
+        use.level.add(now_ms, limit.rate, granted)
         counted.sequence = report.sequence
         counted.total = report.total + granted
         counted.granted = granted
         return granted
 
-    def _part(self, now_ms, metered):
+    def _reachable_limit(self, now_ms, use):
         """Return the limit without the shares of entries not heard."""
         share = self.heard.share(now_ms)
-        limit = metered.limit
+        limit = use.limit
         return RateLimit(limit.rate * share, max(1.0, limit.room * share))
 
-    def _turn(self, now_ms, metered, refused):
+    def _retry_after_ms(self, now_ms, use, refused):
         """Return how long the first of `refused` waits behind others."""
         if refused <= 0:
             return 0
-        limit = self._part(now_ms, metered)
-        missing = metered.level.at(now_ms, limit.rate) + 1 - limit.room
+        limit = self._reachable_limit(now_ms, use)
+        missing = use.level.at(now_ms, limit.rate) + 1 - limit.room
         first_ms = now_ms + wait_ms(missing, limit.rate)
-        latest_ms = now_ms + MOST_WAIT_MS
-        turn_ms = min(max(first_ms, metered.turn_ms), latest_ms)
-        metered.turn_ms = turn_ms + refused * 1000 / limit.rate
-        return int(turn_ms) - now_ms
+        latest_ms = now_ms + MAX_RETRY_AFTER_MS
+        next_retry_ms = min(max(first_ms, use.next_retry_ms), latest_ms)
+        use.next_retry_ms = next_retry_ms + refused * 1000 / limit.rate
+        return int(next_retry_ms) - now_ms
 
 
 def _newer(held, told):
--- a/dahliashunt/decisions/metered.py
+++ b/dahliashunt/decisions/metered.py
@@ -30,48 +30,48 @@
 from dahliashunt.decisions.rate_limits import Asked
 from dahliashunt.decisions.rate_limits import CAPS
 from dahliashunt.decisions.rate_limits import EqualShare
-from dahliashunt.decisions.rate_limits import forget_old
-from dahliashunt.decisions.rate_limits import KEPT_MS
+from dahliashunt.decisions.rate_limits import evict_old
+from dahliashunt.decisions.rate_limits import IDLE_EXPIRY_MS
+from dahliashunt.decisions.rate_limits import MAX_RETRY_AFTER_MS
 from dahliashunt.decisions.rate_limits import MeterView
-from dahliashunt.decisions.rate_limits import MOST_WAIT_MS
 from dahliashunt.decisions.rate_limits import Outcome
 from dahliashunt.decisions.rate_limits import RateLimit
 from dahliashunt.decisions.rate_limits import Refused
 from dahliashunt.decisions.rate_limits import UseView
 from dahliashunt.decisions.rate_limits import Verdict
 
-__all__ = ["ASK_MS", "BATCH_MS", "METERS", "Metered"]
+__all__ = ["METERS", "METER_TIMEOUT_MS", "REPORT_INTERVAL_MS", "Metered"]
 
 METERS = 3
 """Meters of a workspace: one may be lost, and two that have counted all
 are left."""
 
-FREE_SHARE = 0.5
+UNCHECKED_SHARE = 0.5
 """Share of the room up to which requests are let in without asking: the
 rest holds what other entries have let in and not yet told."""
 
-BATCH_MS = 100
+REPORT_INTERVAL_MS = 100
 """Between reports of one workspace, far from its limit."""
 
-ASK_MS = 25
+METER_TIMEOUT_MS = 25
 """A meter that has not answered for so long is left for the next: some ten
 round trips within a region."""
 
-SILENT_MS = 100
+METER_SILENT_MS = 100
 """A meter is silent after so long: four asks."""
 
-NOISE = 1.0
+LEVEL_TOLERANCE = 1.0
 """Requests by which levels of two meters differ at any moment."""
 
-PROBE_MS = 400
+PROBE_INTERVAL_MS = 400
 """Between reports to meters most of which are silent: an entry that is cut
 off reports each of its workspaces in vain."""
 
-LIVES = 2**31
+LIFE_IDS = 2**31
 
 
 @dataclass(slots=True)
-class _Told:
+class _MeterState:
     """What a workspace's meter knows of this entry, and said."""
 
     host: str
@@ -83,7 +83,10 @@
 
     def is_silent(self, now_ms):
         unanswered_ms = self.unanswered_ms
-        return unanswered_ms is not None and now_ms - unanswered_ms > SILENT_MS
+        return (
+            unanswered_ms is not None
+            and now_ms - unanswered_ms > METER_SILENT_MS
+        )
 
 
 @dataclass(slots=True)
@@ -105,26 +108,26 @@
     limit: RateLimit
     total: int = 0
     sequence: int = 0
-    told_total: int = 0
-    told_ms: int = -BATCH_MS
+    reported_total: int = 0
+    reported_ms: int = -REPORT_INTERVAL_MS
     used_ms: int = 0
-    told_by_host: dict[str, _Told] = field(default_factory=dict)
+    meter_by_host: dict[str, _MeterState] = field(default_factory=dict)
     question: _Question | None = None
     queue: list[int] = field(default_factory=list)
 
     def level(self, now_ms):
         """Return the level of all entries, as far as is known here."""
-        heard = [t for t in self.told_by_host.values() if t.at_ms is not None]
+        heard = [t for t in self.meter_by_host.values() if t.at_ms is not None]
         levels = [
-            self._level_by(told, now_ms)
-            for told in [t for t in heard if t.mature] or heard
+            self._level_by(meter, now_ms)
+            for meter in [t for t in heard if t.mature] or heard
         ]
         return max(levels, default=float(self.total))
 
-    def _level_by(self, told, now_ms):
-        paid = (now_ms - told.at_ms) * self.limit.rate / 1000
-        untold = max(0, self.total - told.counted)
-        return max(0.0, told.level - paid) + untold
+    def _level_by(self, meter, now_ms):
+        paid = (now_ms - meter.at_ms) * self.limit.rate / 1000
+        unreported = max(0, self.total - meter.counted)
+        return max(0.0, meter.level - paid) + unreported
 
     def knows_more(self, now_ms, reading):
         """Tell whether another meter has counted what this one has not.
@@ -133,33 +136,33 @@
         """
         if reading.mature:
             return False
-        level = reading.level + NOISE
+        level = reading.level + LEVEL_TOLERANCE
         return any(
-            told.mature or self._level_by(told, now_ms) > level
-            for told in self.told_by_host.values()
-            if told.at_ms is not None
+            meter.mature or self._level_by(meter, now_ms) > level
+            for meter in self.meter_by_host.values()
+            if meter.at_ms is not None
         )
 
     def uncounted(self):
         """Return requests that no meter is known to have counted."""
-        counted = [told.counted for told in self.told_by_host.values()]
+        counted = [meter.counted for meter in self.meter_by_host.values()]
         return self.total - max(counted, default=0)
 
     def is_idle(self, now_ms):
         """Tell whether nothing was asked for in a long while."""
-        return self.question is None and now_ms - self.used_ms > KEPT_MS
+        return self.question is None and now_ms - self.used_ms > IDLE_EXPIRY_MS
 
-    def is_told(self):
+    def is_reported(self):
         """Tell whether more than half of the meters know all."""
-        told = self.told_by_host.values()
-        open_ = sum(each.unanswered_ms is not None for each in told)
-        return self.total == self.told_total and len(told) > 2 * open_
+        meters = self.meter_by_host.values()
+        open_ = sum(meter.unanswered_ms is not None for meter in meters)
+        return self.total == self.reported_total and len(meters) > 2 * open_
 
     def is_metered(self, now_ms):
         """Tell whether more than half of the meters answer."""
-        told = self.told_by_host.values()
-        silent = sum(each.is_silent(now_ms) for each in told)
-        return len(told) > 2 * silent
+        meters = self.meter_by_host.values()
+        silent = sum(meter.is_silent(now_ms) for meter in meters)
+        return len(meters) > 2 * silent
 
 
 @CAPS.register("metered")
@@ -190,31 +193,31 @@
         self._entries = entries
         self._meters_of = meters_of
         self._rng = rng
-        self._share = EqualShare(self._known_entries)
+        self._share = EqualShare(self._entry_count)
         self._use_by_workspace: dict[int, _Use] = {}
-        self._numbers = 0
-        self._untold: dict[int, _Use] = {}
+        self._last_number = 0
+        self._unreported: dict[int, _Use] = {}
         self._asking: dict[int, _Use] = {}
         self._out: list[tuple[str, Report]] = []
         self.most_entries = 0
 
-    def _known_entries(self):
+    def _entry_count(self):
         return max(self._entries(), self.most_entries)
 
     def take(self, now_ms: int, workspace: int, limit: RateLimit):
         """Let one request in, refuse it, or ask for it."""
         use = self._use(now_ms, workspace, limit)
         if not use.is_metered(now_ms):
-            return self._take_share(now_ms, use)
-        if not self._is_free(now_ms, use):
+            return self._take_from_share(now_ms, use)
+        if not self._is_far_from_limit(now_ms, use):
             return self._ask(now_ms, use)
         use.total += 1
         self._share.note(now_ms, workspace, limit)
-        self._untold[workspace] = use
-        self._tell(now_ms, use)
+        self._unreported[workspace] = use
+        self._report_to_all(now_ms, use)
         return Verdict.ADMITTED
 
-    def _is_free(self, now_ms, use):
+    def _is_far_from_limit(self, now_ms, use):
         """Tell whether one more request is far enough from the limit.
 
         What the meters have not counted yet stays small, over all entries:
@@ -222,20 +225,20 @@
         """
         if use.question is not None:
             return False
-        room = FREE_SHARE * use.limit.room - use.level(now_ms)
-        most = max(1.0, room / max(1, self._known_entries()))
-        return room >= min(1.0, FREE_SHARE * use.limit.room) and (
+        room = UNCHECKED_SHARE * use.limit.room - use.level(now_ms)
+        most = max(1.0, room / max(1, self._entry_count()))
+        return room >= min(1.0, UNCHECKED_SHARE * use.limit.room) and (
             use.uncounted() + 1 <= most
         )
 
-    def _take_share(self, now_ms, use):
+    def _take_from_share(self, now_ms, use):
         """Go by the share; the meters are told, should they answer."""
-        found = self._share.take(now_ms, use.workspace, use.limit)
-        if found is Verdict.ADMITTED:
+        answer = self._share.take(now_ms, use.workspace, use.limit)
+        if answer is Verdict.ADMITTED:
             use.total += 1
-        self._untold[use.workspace] = use
-        self._tell(now_ms, use)
-        return found
+        self._unreported[use.workspace] = use
+        self._report_to_all(now_ms, use)
+        return answer
 
     def give_back(self, now_ms: int, workspace: int, limit: RateLimit) -> None:
         """Take back a request that did not run."""
@@ -243,7 +246,7 @@
         use = self._use_by_workspace.get(workspace)
         if use is not None:
             use.total -= 1
-            self._untold[workspace] = use
+            self._unreported[workspace] = use
 
     def view(self, now_ms: int, workspace: int) -> UseView:
         """Return a workspace's use; no request is counted by it."""
@@ -252,24 +255,24 @@
             return self._share.view(now_ms, workspace)
         meters = tuple(
             MeterView(
-                told.host,
-                told.level,
-                None if told.at_ms is None else now_ms - told.at_ms,
-                told.mature,
-                told.is_silent(now_ms),
+                meter.host,
+                meter.level,
+                None if meter.at_ms is None else now_ms - meter.at_ms,
+                meter.mature,
+                meter.is_silent(now_ms),
             )
-            for told in use.told_by_host.values()
+            for meter in use.meter_by_host.values()
         )
-        entries = max(1, self._known_entries())
+        entries = max(1, self._entry_count())
         return UseView(use.level(now_ms), True, entries, meters)
 
     def _use(self, now_ms, workspace, limit):
         use = self._use_by_workspace.get(workspace)
         if use is None:
-            forget_old(
+            evict_old(
                 self._use_by_workspace, lambda held: held.is_idle(now_ms)
             )
-            life = self._rng.randrange(LIVES)
+            life = self._rng.randrange(LIFE_IDS)
             use = _Use(workspace, life, limit)
             self._use_by_workspace[workspace] = use
         if limit.revision >= use.limit.revision:
@@ -280,11 +283,12 @@
 
     def _choose_meters(self, use):
         hosts = self._meters_of(use.workspace)
-        if tuple(use.told_by_host) == hosts:
+        if tuple(use.meter_by_host) == hosts:
             return
         # A new meter counts from here on; the others know what was before.
-        use.told_by_host = {
-            host: use.told_by_host.get(host) or _Told(host, use.told_total)
+        use.meter_by_host = {
+            host: use.meter_by_host.get(host)
+            or _MeterState(host, use.reported_total)
             for host in hosts
         }
 
@@ -295,48 +299,50 @@
         out, self._out = self._out, []
         return out
 
-    def _tell(self, now_ms, use):
+    def _report_to_all(self, now_ms, use):
         """Report to all meters, unless it was done a moment ago.
 
         Not while a question is open: the meter that was asked may count
         requests that are not in the total yet.
         """
-        gap_ms = BATCH_MS if use.is_metered(now_ms) else PROBE_MS
-        if now_ms - use.told_ms < gap_ms or use.question is not None:
+        gap_ms = (
+            REPORT_INTERVAL_MS if use.is_metered(now_ms) else PROBE_INTERVAL_MS
+        )
+        if now_ms - use.reported_ms < gap_ms or use.question is not None:
             return
-        use.told_ms = now_ms
-        use.told_total = use.total
+        use.reported_ms = now_ms
+        use.reported_total = use.total
         use.sequence += 1
-        for told in use.told_by_host.values():
-            self._report(now_ms, use, told, 0)
+        for meter in use.meter_by_host.values():
+            self._report(now_ms, use, meter, 0)
 
-    def _report(self, now_ms, use, told, wanted):
-        if told.unanswered_ms is None:
-            told.unanswered_ms = now_ms
+    def _report(self, now_ms, use, meter, wanted):
+        if meter.unanswered_ms is None:
+            meter.unanswered_ms = now_ms
         report = Report(
             workspace=use.workspace,
             life=use.life,
             sequence=use.sequence,
             total=use.total,
-            since=told.counted,
+            since=meter.counted,
             wanted=wanted,
             limit=use.limit,
         )
-        self._out.append((told.host, report))
+        self._out.append((meter.host, report))
 
     def _ask(self, now_ms, use):
-        self._numbers += 1
-        use.queue.append(self._numbers)
+        self._last_number += 1
+        use.queue.append(self._last_number)
         if use.question is None:
             self._ask_for_queue(now_ms, use)
-        return Asked(self._numbers)
+        return Asked(self._last_number)
 
     def _ask_for_queue(self, now_ms, use):
-        told = use.told_by_host.values()
+        meters = use.meter_by_host.values()
         ranked = sorted(
-            told, key=lambda t: (t.is_silent(now_ms), not t.mature)
+            meters, key=lambda t: (t.is_silent(now_ms), not t.mature)
         )
-        use.question = _Question(use.queue, [each.host for each in ranked])
+        use.question = _Question(use.queue, [meter.host for meter in ranked])
         use.queue = []
         self._asking[use.workspace] = use
         self._ask_next(now_ms, use)
@@ -345,11 +351,11 @@
         """Ask the next meter; return whether there was one."""
         question = use.question
         while question.hosts:
-            told = use.told_by_host.get(question.hosts.pop(0))
-            if told is not None:
+            meter = use.meter_by_host.get(question.hosts.pop(0))
+            if meter is not None:
                 use.sequence += 1
                 question.sequence, question.sent_ms = use.sequence, now_ms
-                self._report(now_ms, use, told, len(question.numbers))
+                self._report(now_ms, use, meter, len(question.numbers))
                 return True
         return False
 
@@ -358,12 +364,12 @@
         use = self._use_by_workspace.get(reading.workspace)
         if use is None or use.life != reading.life:
             return []
-        told = use.told_by_host.get(host)
-        if told is None:
+        meter = use.meter_by_host.get(host)
+        if meter is None:
             return []
-        told.counted, told.level = reading.counted, reading.level
-        told.at_ms, told.mature = now_ms, reading.mature
-        told.unanswered_ms = None
+        meter.counted, meter.level = reading.counted, reading.level
+        meter.at_ms, meter.mature = now_ms, reading.mature
+        meter.unanswered_ms = None
         if reading.newer is not None:
             use.limit = reading.newer
         self.most_entries = max(self.most_entries, reading.entries)
@@ -383,17 +389,17 @@
         gap_ms = 1000 / use.limit.rate
         outcomes = [Outcome(number, Verdict.ADMITTED) for number in granted]
         outcomes += [
-            Outcome(number, Refused(_turn_ms(reading, place * gap_ms)))
+            Outcome(number, Refused(_retry_after_ms(reading, place * gap_ms)))
             for place, number in enumerate(refused)
         ]
-        self._closed(now_ms, use)
+        self._close_question(now_ms, use)
         return outcomes
 
-    def _closed(self, now_ms, use):
+    def _close_question(self, now_ms, use):
         """Ask for what came while the question was open."""
         use.question = None
         del self._asking[use.workspace]
-        self._untold[use.workspace] = use
+        self._unreported[use.workspace] = use
         if use.queue:
             self._ask_for_queue(now_ms, use)
 
@@ -401,35 +407,35 @@
         """Ask further meters, decide without them, and tell what is due."""
         outcomes = []
         for use in list(self._asking.values()):
-            if now_ms - use.question.sent_ms < ASK_MS:
+            if now_ms - use.question.sent_ms < METER_TIMEOUT_MS:
                 continue
             if not self._ask_next(now_ms, use):
                 outcomes += self._give_up(now_ms, use)
-        for use in list(self._untold.values()):
-            if use.is_told() or use.is_idle(now_ms):
-                del self._untold[use.workspace]
+        for use in list(self._unreported.values()):
+            if use.is_reported() or use.is_idle(now_ms):
+                del self._unreported[use.workspace]
             else:
-                self._tell(now_ms, use)
+                self._report_to_all(now_ms, use)
         return outcomes
 
     def _give_up(self, now_ms, use):
         """No meter has answered: the share decides."""
         outcomes = []
         for number in use.question.numbers:
-            found = self._share.take(now_ms, use.workspace, use.limit)
-            use.total += found is Verdict.ADMITTED
-            outcomes.append(Outcome(number, found))
-        self._closed(now_ms, use)
+            answer = self._share.take(now_ms, use.workspace, use.limit)
+            use.total += answer is Verdict.ADMITTED
+            outcomes.append(Outcome(number, answer))
+        self._close_question(now_ms, use)
         return outcomes
 
     @property
     def is_waiting(self) -> bool:
         """Whether `tick` is wanted."""
-        return bool(self._asking or self._untold)
+        return bool(self._asking or self._unreported)
 
 
-def _turn_ms(reading, later_ms):
-    return min(MOST_WAIT_MS, reading.wait_ms + int(later_ms))
+def _retry_after_ms(reading, later_ms):
+    return min(MAX_RETRY_AFTER_MS, reading.wait_ms + int(later_ms))
 
 
 def _split(items: list, place: int) -> tuple[list, list]:
--- a/dahliashunt/decisions/overload.py
+++ b/dahliashunt/decisions/overload.py
@@ -43,7 +43,7 @@
 
 LIMITS = Registry("concurrency limit")
 
-_USED = 0.9
+_IN_USE_SHARE = 0.9
 """A limit is in use from here on: callers over their share get no more."""
 
 
@@ -72,7 +72,7 @@
         """Learn that the endpoint refused for load."""
 
 
-class _Windowed(NoLimit):
+class _WindowedLimit(NoLimit):
     """A limit that moves once a window of samples."""
 
     def __init__(self, policy: EntryPolicy):
@@ -80,7 +80,7 @@
         self._policy = policy
         self.value = float(policy.limit_initial)
         self._samples: list[float] = []
-        self._most = 0
+        self._peak_in_flight = 0
         self._since_ms = 0
         self._slow_start = True
 
@@ -99,63 +99,63 @@
         if not self._samples:
             self._since_ms = now
         self._samples.append(self._measure(first_token_ms, target_ms))
-        self._most = max(self._most, in_flight)
+        self._peak_in_flight = max(self._peak_in_flight, in_flight)
         policy = self._policy
         full = len(self._samples) >= policy.limit_samples
         if full and now - self._since_ms >= policy.limit_window_ms:
-            self._move(sorted(self._samples), self._most)
+            self._adjust(sorted(self._samples), self._peak_in_flight)
             self._samples = []
-            self._most = 0
+            self._peak_in_flight = 0
 
     def congested(self, now: int) -> None:
         """Go down once a window when the endpoint refused for load."""
         if now - self._since_ms >= self._policy.limit_window_ms:
             self._since_ms = now
-            self._down(self._policy.limit_decrease)
+            self._decrease(self._policy.limit_decrease)
 
     def _measure(self, first_token_ms: float, target_ms: float) -> float:
         return first_token_ms / target_ms
 
-    def _move(self, samples: list[float], most: int) -> None:
+    def _adjust(self, samples: list[float], peak_in_flight: int) -> None:
         raise NotImplementedError
 
-    def _down(self, factor: float) -> None:
+    def _decrease(self, factor: float) -> None:
         self._slow_start = False
         self.value = max(self._policy.limit_min, self.value * factor)
 
-    def _set(self, value: float) -> None:
+    def _set_clamped(self, value: float) -> None:
         policy = self._policy
         self.value = min(policy.limit_max, max(policy.limit_min, value))
 
 
 @LIMITS.register("aimd")
-class AimdLimit(_Windowed):
+class AimdLimit(_WindowedLimit):
     """Up by one while first tokens are in time, down by a part if not."""
 
-    def _move(self, samples: list[float], most: int) -> None:
-        late = samples[int(0.9 * len(samples))]
-        if late > 1.0:
-            self._down(self._policy.limit_decrease)
-        elif most >= self.value * _USED - 1:
+    def _adjust(self, samples: list[float], peak_in_flight: int) -> None:
+        p90 = samples[int(0.9 * len(samples))]
+        if p90 > 1.0:
+            self._decrease(self._policy.limit_decrease)
+        elif peak_in_flight >= self.value * _IN_USE_SHARE - 1:
             step = self.value * 0.5 if self._slow_start else 1.0
-            self._set(self.value + step)
+            self._set_clamped(self.value + step)
 
 
 @LIMITS.register("gradient")
-class GradientLimit(_Windowed):
+class GradientLimit(_WindowedLimit):
     """Follow the ratio of the unloaded to the measured latency."""
 
     def _measure(self, first_token_ms: float, target_ms: float) -> float:
         return first_token_ms
 
-    def _move(self, samples: list[float], most: int) -> None:
+    def _adjust(self, samples: list[float], peak_in_flight: int) -> None:
         median = max(1.0, samples[len(samples) // 2])
         if not self.base_ms or median < self.base_ms:
             self.base_ms = median
         # The base drifts up slowly, for an endpoint that became slower.
         self.base_ms *= 1.01
         gradient = max(0.5, min(1.0, 2.0 * self.base_ms / median))
-        if gradient == 1.0 and most < self.value * _USED - 1:
+        if gradient == 1.0 and peak_in_flight < self.value * _IN_USE_SHARE - 1:
             return
         wanted = self.value * gradient + self.value**0.5
-        self._set(0.8 * self.value + 0.2 * wanted)
+        self._set_clamped(0.8 * self.value + 0.2 * wanted)
--- a/dahliashunt/decisions/queueing.py
+++ b/dahliashunt/decisions/queueing.py
@@ -130,10 +130,10 @@
         """Remove one that is there."""
         del self._items[bisect_left(self._items, waiting)]
 
-    def drop(self, gone: list[Waiting]) -> None:
+    def drop(self, rejected: list[Waiting]) -> None:
         """Remove several."""
-        if gone:
-            ids = {waiting.request_id for waiting in gone}
+        if rejected:
+            ids = {waiting.request_id for waiting in rejected}
             self._items = [w for w in self._items if w.request_id not in ids]
 
 
@@ -182,7 +182,7 @@
 
     def __init__(self, policy: EntryPolicy):
         super().__init__(policy)
-        self._short_until_ms = 0
+        self._restricted_until_ms = 0
 
     def admits(
         self,
@@ -199,10 +199,10 @@
         if wait + prompt_tokens * drain.ms_per_token > left_ms:
             return False
         if queue.standing_ms(now) > policy.standing_ms:
-            self._short_until_ms = now + policy.standing_ms
-        short = now < self._short_until_ms
-        if short and wait > left_ms * policy.standing_part:
-            self._short_until_ms = now + policy.standing_ms
+            self._restricted_until_ms = now + policy.standing_ms
+        restricted = now < self._restricted_until_ms
+        if restricted and wait > left_ms * policy.standing_part:
+            self._restricted_until_ms = now + policy.standing_ms
             return False
         return True
 
@@ -213,16 +213,16 @@
 
         One that is dropped lets those behind it move up.
         """
-        gone = []
+        rejected = []
         step = 1 / drain.per_ms
         at = float(now)
         for waiting in queue:
             prefill = waiting.prompt_tokens * drain.ms_per_token
             if at + prefill > waiting.first_token_by_ms:
-                gone.append(waiting)
+                rejected.append(waiting)
             else:
                 at += step
-        return gone
+        return rejected
 
 
 @DISCIPLINES.register("newest_first")
--- a/dahliashunt/decisions/rate_limits.py
+++ b/dahliashunt/decisions/rate_limits.py
@@ -27,8 +27,8 @@
 
 __all__ = [
     "CAPS",
-    "KEPT_MS",
-    "MOST_WAIT_MS",
+    "IDLE_EXPIRY_MS",
+    "MAX_RETRY_AFTER_MS",
     "Asked",
     "EqualShare",
     "Level",
@@ -38,19 +38,19 @@
     "Refused",
     "UseView",
     "Verdict",
-    "forget_old",
+    "evict_old",
     "wait_ms",
 ]
 
 CAPS = Registry("cap policy")
 
-KEPT_MS = 10_000
+IDLE_EXPIRY_MS = 10_000
 """A workspace without requests for so long is forgotten."""
 
-LOOKED_AT = 2
+EVICTION_CHECKS = 2
 """Old members looked at for each new one; above 1 a table shrinks."""
 
-MOST_WAIT_MS = 5_000
+MAX_RETRY_AFTER_MS = 5_000
 """Longest Retry-After: further ahead nobody knows what will be sent."""
 
 
@@ -175,10 +175,10 @@
 
 def wait_ms(missing: float, rate: float) -> int:
     """Return how long the rate takes to pay for `missing` requests."""
-    return min(MOST_WAIT_MS, max(1, -int(-1000 * missing // rate)))
+    return min(MAX_RETRY_AFTER_MS, max(1, -int(-1000 * missing // rate)))
 
 
-def forget_old(table: dict, is_old) -> None:
+def evict_old(table: dict, is_old) -> None:
     """Look at two members and drop those that are old.
 
     To be called for each new member: the table then shrinks to those that
@@ -187,11 +187,11 @@
     Examples
     --------
     >>> table = {"used": 1, "old": 0}
-    >>> forget_old(table, lambda value: value == 0)
+    >>> evict_old(table, lambda value: value == 0)
     >>> table
     {'used': 1}
     """
-    for _ in range(min(LOOKED_AT, len(table))):
+    for _ in range(min(EVICTION_CHECKS, len(table))):
         key = next(iter(table))
         value = table.pop(key)
         if not is_old(value):
@@ -226,7 +226,7 @@
     def take(self, now_ms: int, workspace: int, limit: RateLimit):
         """Let one request in, or say when it would pass."""
         share = self._share(now_ms, workspace)
-        rate, room = self._part(limit)
+        rate, room = self._entry_limit(limit)
         missing = share.level.at(now_ms, rate) + 1 - room
         if missing > 0:
             return Refused(wait_ms(missing, rate))
@@ -235,7 +235,7 @@
 
     def note(self, now_ms: int, workspace: int, limit: RateLimit) -> None:
         """Count a request that was let in by other means."""
-        rate, room = self._part(limit)
+        rate, room = self._entry_limit(limit)
         level = self._share(now_ms, workspace).level
         level.add(now_ms, rate)
         level.lower_to(room)
@@ -244,7 +244,7 @@
         """Take back a request that did not run."""
         share = self._share_by_workspace.get(workspace)
         if share is not None:
-            share.level.add(now_ms, self._part(limit)[0], -1)
+            share.level.add(now_ms, self._entry_limit(limit)[0], -1)
 
     def view(self, now_ms: int, workspace: int) -> UseView:
         """Return a workspace's use; no request is counted by it."""
@@ -252,16 +252,16 @@
         level = share.level.at(now_ms, 0) if share is not None else 0.0
         return UseView(level, False, max(1, self._entries()))
 
-    def _part(self, limit):
+    def _entry_limit(self, limit):
         entries = max(1, self._entries())
         return limit.rate / entries, max(1.0, limit.room / entries)
 
     def _share(self, now_ms, workspace):
         share = self._share_by_workspace.get(workspace)
         if share is None:
-            forget_old(
+            evict_old(
                 self._share_by_workspace,
-                lambda held: now_ms - held.used_ms > KEPT_MS,
+                lambda held: now_ms - held.used_ms > IDLE_EXPIRY_MS,
             )
             share = _Share(Level(), now_ms)
             self._share_by_workspace[workspace] = share
--- a/dahliashunt/decisions/registry.py
+++ b/dahliashunt/decisions/registry.py
@@ -30,8 +30,8 @@
     True
     """
 
-    def __init__(self, what: str):
-        self._what = what
+    def __init__(self, kind: str):
+        self._kind = kind
         self._by_name: dict[str, Callable] = {}
 
     def register(self, name: str) -> Callable:
@@ -39,7 +39,7 @@
 
         def decorate(member):
             if name in self._by_name:
-                raise ValueError(f"{self._what} {name!r} exists already")
+                raise ValueError(f"{self._kind} {name!r} exists already")
             self._by_name[name] = member
             return member
 
@@ -58,7 +58,7 @@
         except KeyError:
             known = ", ".join(sorted(self._by_name))
             raise UnknownPolicy(
-                f"no {self._what} {name!r}; there are: {known}"
+                f"no {self._kind} {name!r}; there are: {known}"
             ) from None
 
     def __iter__(self) -> Iterator[str]:
--- a/dahliashunt/decisions/tail.py
+++ b/dahliashunt/decisions/tail.py
@@ -42,14 +42,14 @@
 
 __all__ = ["TailBound"]
 
-_OVER = 0.05
+_TAIL_SHARE = 0.05
 # One gap above moves the tail by a hundredth: it settles within some
 # hundred steps and then varies by about as much.
 _TAIL_GAIN = 0.01
 _SHARE_GAIN = 0.002
-_MOST_CREDIT = 2.0
+_MAX_CREDIT = 2.0
 # A burst's debt would keep batch prompts out for long after it.
-_LEAST_CREDIT = -1.0
+_MIN_CREDIT = -1.0
 
 
 class TailBound:
@@ -58,8 +58,8 @@
     def __init__(self, policy: AgentPolicy, model: StepModel):
         self._policy = policy
         self._model = model
-        self._alone_ms = 0.0
-        self._alone_over = 0.0
+        self._online_tail_ms = 0.0
+        self._online_over_share = 0.0
         self._stalls: deque[float] = deque()
         self._sorted_stalls: list[float] = []
         self._stalled = False
@@ -71,21 +71,21 @@
         """The gap that 95 of 100 tokens may have beside batch."""
         target = self._policy.token_gap_target_ms
         growth = self._policy.tail_growth
-        if growth is None or not self._alone_ms:
+        if growth is None or not self._online_tail_ms:
             return target
-        return min(target, self._alone_ms * (1 + growth))
+        return min(target, self._online_tail_ms * (1 + growth))
 
     @property
     def bound_ms(self) -> float:
         """The longest predicted step beside online work."""
         margin = self._policy.step_margin
-        return max(0.0, self.target_ms * margin - self._usual_stall())
+        return max(0.0, self.target_ms * margin - self._stall_allowance())
 
     @property
     def allowed(self) -> float:
         """The part of the gaps that batch may push over the target."""
         policy = self._policy
-        left = policy.over_share - self._alone_over
+        left = policy.over_share - self._online_over_share
         return max(policy.least_over_share, left)
 
     def may_exceed(self) -> bool:
@@ -101,24 +101,26 @@
         """Learn from the gap between two tokens of one stream."""
         stalled = occupancy.prefill_batch > 0
         if occupancy.online:
-            self._learn(gap_ms, occupancy, stalled or self._stalled)
+            self._update(gap_ms, occupancy, stalled or self._stalled)
         self._stalled = stalled
 
-    def _learn(self, gap_ms, occupancy, stalled) -> None:
+    def _update(self, gap_ms, occupancy, stalled) -> None:
         model = self._model
         step = model.predict(occupancy.running, occupancy.kv)
-        alone = model.predict_alone(occupancy, step)
+        online_gap_ms = model.predict_alone(occupancy, step)
         if not stalled:
-            alone += max(0.0, gap_ms - step)
-        self._track_alone(alone)
+            online_gap_ms += max(0.0, gap_ms - step)
+        self._track_online_tail(online_gap_ms)
         target = self.target_ms
-        over = alone > target
-        self._alone_over += _SHARE_GAIN * (over - self._alone_over)
+        over = online_gap_ms > target
+        self._online_over_share += _SHARE_GAIN * (
+            over - self._online_over_share
+        )
         caused = gap_ms > target and not over
         if stalled and caused and self._prepaid:
             caused = self._prepaid = False
         credit = self._credit + self.allowed - caused
-        self._credit = max(_LEAST_CREDIT, min(_MOST_CREDIT, credit))
+        self._credit = max(_MIN_CREDIT, min(_MAX_CREDIT, credit))
         # What exceeds the target without batch, batch can't prevent.
         stall = 0.0 if over or stalled else max(0.0, gap_ms - step)
         self._keep_stall(stall)
@@ -131,7 +133,7 @@
             oldest = stalls.popleft()
             del self._sorted_stalls[bisect_left(self._sorted_stalls, oldest)]
 
-    def _usual_stall(self) -> float:
+    def _stall_allowance(self) -> float:
         """Return the stall by online prompts that few steps exceed.
 
         Half of what is allowed is for them, half for prompts of batch.
@@ -142,11 +144,11 @@
         largest = int(len(stalls) * self.allowed)
         return stalls[-1 - largest]
 
-    def _track_alone(self, alone: float) -> None:
-        if not self._alone_ms:
-            self._alone_ms = alone
-        gain = _TAIL_GAIN * self._alone_ms
-        if alone > self._alone_ms:
-            self._alone_ms += gain * (1 - _OVER)
+    def _track_online_tail(self, online_gap_ms: float) -> None:
+        if not self._online_tail_ms:
+            self._online_tail_ms = online_gap_ms
+        gain = _TAIL_GAIN * self._online_tail_ms
+        if online_gap_ms > self._online_tail_ms:
+            self._online_tail_ms += gain * (1 - _TAIL_SHARE)
         else:
-            self._alone_ms -= gain * _OVER
+            self._online_tail_ms -= gain * _TAIL_SHARE
--- a/dahliashunt/decisions/tests/cap_play.py
+++ b/dahliashunt/decisions/tests/cap_play.py
@@ -23,11 +23,11 @@
 __all__ = ["CapPlay", "arrivals", "lost", "overruns"]
 
 WINDOW_MS = 5_000
-OVERRUN = 0.1
-SLACK = 20
+OVERRUN_SHARE = 0.1
+OVERRUN_REQUESTS = 20
 TICK_MS = 25
 
-RENEW_MS = 1_000
+HEARTBEAT_MS = 1_000
 
 HOP_MS = (1, 3)
 """One way between two machines of a region, with both sides' work."""
@@ -51,7 +51,7 @@
     policy: object
     frozen_until_ms: int = 0
     pending: dict = field(default_factory=dict)
-    late: list = field(default_factory=list)
+    deferred: list = field(default_factory=list)
 
 
 class CapPlay:
@@ -88,8 +88,8 @@
         self._order = itertools.count()
         self._ticking = set()
         for number in range(entries):
-            first_ms = self.rng.randrange(RENEW_MS)
-            self.at(first_ms, lambda n=number: self._renew(n))
+            first_ms = self.rng.randrange(HEARTBEAT_MS)
+            self.at(first_ms, lambda n=number: self._send_heartbeat(n))
 
     def _start(self, number):
         member = CAPS.get(self._policy)
@@ -105,9 +105,9 @@
 
     # What may happen.
 
-    def at(self, at_ms, act):
-        """Do `act` at a time."""
-        heapq.heappush(self._events, (at_ms, next(self._order), act))
+    def at(self, at_ms, action):
+        """Do `action` at a time."""
+        heapq.heappush(self._events, (at_ms, next(self._order), action))
 
     def kill_entry(self, number):
         """Lose an entry; a new one comes in its place at once."""
@@ -124,13 +124,15 @@
 
     def _wake(self, number):
         entry = self.entries[number]
-        late, entry.late = entry.late, []
-        for act in late:
-            act()
+        deferred, entry.deferred = entry.deferred, []
+        for action in deferred:
+            action()
 
-    def _renew(self, number):
+    def _send_heartbeat(self, number):
         """Let an entry renew its slots, a sign of life for all meters."""
-        self.at(self.now_ms + RENEW_MS, lambda: self._renew(number))
+        self.at(
+            self.now_ms + HEARTBEAT_MS, lambda: self._send_heartbeat(number)
+        )
         if self.now_ms < self.entries[number].frozen_until_ms:
             return
         for host in self._hosts:
@@ -149,14 +151,14 @@
     def _arrive(self, number, request):
         entry = self.entries[number]
         if self.now_ms < entry.frozen_until_ms:
-            entry.late.append(lambda: self._arrive(number, request))
+            entry.deferred.append(lambda: self._arrive(number, request))
             return
         limit = self.limit_by_entry[number]
-        found = entry.policy.take(self.now_ms, request.workspace, limit)
-        if isinstance(found, Asked):
-            entry.pending[found.number] = request
+        answer = entry.policy.take(self.now_ms, request.workspace, limit)
+        if isinstance(answer, Asked):
+            entry.pending[answer.number] = request
         else:
-            self._decide(request, found)
+            self._decide(request, answer)
         self._flush(number)
 
     def _decide(self, request, verdict):
@@ -170,10 +172,10 @@
     def _flush(self, number):
         entry = self.entries[number]
         for host, report in entry.policy.outbox():
-            self._carry(
+            self._transmit(
                 number,
                 host,
-                lambda h=host, r=report, e=entry: self._reported(
+                lambda h=host, r=report, e=entry: self._deliver_report(
                     number, h, r, e
                 ),
             )
@@ -185,31 +187,33 @@
         self._ticking.discard(number)
         entry = self.entries[number]
         if self.now_ms < entry.frozen_until_ms:
-            entry.late.append(lambda: self._tick(number))
+            entry.deferred.append(lambda: self._tick(number))
             return
         self._outcomes(number, entry.policy.tick(self.now_ms))
         self._flush(number)
 
-    def _carry(self, number, host, act):
+    def _transmit(self, number, host, action):
         self.messages += 1
         if self.cut(number, host) or self.rng.random() < self.loss:
             return
         copies = 1 + (self.rng.random() < self.doubling)
         for _ in range(copies):
-            self.at(self.now_ms + self.rng.randint(*HOP_MS), act)
+            self.at(self.now_ms + self.rng.randint(*HOP_MS), action)
 
-    def _reported(self, number, host, report, entry):
+    def _deliver_report(self, number, host, report, entry):
         reading = self.meters[host].report(self.now_ms, number, report)
-        self._carry(
-            number, host, lambda: self._heard(number, host, reading, entry)
+        self._transmit(
+            number,
+            host,
+            lambda: self._deliver_reading(number, host, reading, entry),
         )
 
-    def _heard(self, number, host, reading, entry):
+    def _deliver_reading(self, number, host, reading, entry):
         if self.entries[number] is not entry:
             return
         if self.now_ms < entry.frozen_until_ms:
-            entry.late.append(
-                lambda: self._heard(number, host, reading, entry)
+            entry.deferred.append(
+                lambda: self._deliver_reading(number, host, reading, entry)
             )
             return
         self._outcomes(number, entry.policy.heard(self.now_ms, host, reading))
@@ -218,8 +222,8 @@
     def run(self, until_ms):
         """Play up to a time."""
         while self._events and self._events[0][0] <= until_ms:
-            self.now_ms, _, act = heapq.heappop(self._events)
-            act()
+            self.now_ms, _, action = heapq.heappop(self._events)
+            action()
         self.now_ms = until_ms
 
     def admitted(self, workspace):
@@ -241,10 +245,12 @@
         times.append(int(at_ms))
 
 
-def overruns(play, workspace, limit, burst):
+def overruns(sim, workspace, limit, burst):
     """Return the most by which a window is above what is allowed."""
-    times = play.admitted(workspace)
-    allowed = (limit.rate * WINDOW_MS / 1000 + burst) * (1 + OVERRUN) + SLACK
+    times = sim.admitted(workspace)
+    allowed = (limit.rate * WINDOW_MS / 1000 + burst) * (
+        1 + OVERRUN_SHARE
+    ) + OVERRUN_REQUESTS
     worst = -allowed
     for index, start_ms in enumerate(times):
         end = bisect.bisect_left(times, start_ms + WINDOW_MS)
@@ -252,13 +258,13 @@
     return worst
 
 
-def lost(play, workspace, rate, burst):
+def lost(sim, workspace, rate, burst):
     """Return how many requests one exact count would have let in besides."""
     exact, owed = Level(), 0
-    for request in sorted(play.requests, key=lambda r: r.at_ms):
+    for request in sorted(sim.requests, key=lambda r: r.at_ms):
         if request.workspace != workspace:
             continue
         if exact.at(request.at_ms, rate) + 1 <= burst:
             exact.add(request.at_ms, rate)
             owed += 1
-    return owed - len(play.admitted(workspace))
+    return owed - len(sim.admitted(workspace))
--- a/dahliashunt/decisions/tests/conftest.py
+++ b/dahliashunt/decisions/tests/conftest.py
@@ -18,7 +18,7 @@
     def make(**fields):
         nonlocal count
         count += 1
-        usual = {
+        defaults = {
             "request_id": f"r{count}",
             "caller": "c",
             "model": "m",
@@ -29,7 +29,7 @@
             "may_repeat": True,
             "fingerprint": f"f{count}",
         }
-        return OnlineRequest(**(usual | fields))
+        return OnlineRequest(**(defaults | fields))
 
     return make
 
--- a/dahliashunt/decisions/tests/play.py
+++ b/dahliashunt/decisions/tests/play.py
@@ -71,8 +71,8 @@
 class Engine:
     """One endpoint with its agent: FIFO, except that `alone` is kept."""
 
-    def __init__(self, play, endpoint_id, data_centre, slots=32, slow=1.0):
-        self.play = play
+    def __init__(self, sim, endpoint_id, data_centre, slots=32, slow=1.0):
+        self.sim = sim
         self.endpoint_id = endpoint_id
         self.data_centre = data_centre
         self.slots = slots
@@ -81,10 +81,10 @@
         self.fails = False
         self.up = True
         self.reports = True
-        self.life = 0
-        self.clean()
+        self.incarnation = 0
+        self.reset()
 
-    def clean(self):
+    def reset(self):
         self.waiting = deque()
         self.running = {}
         self.cache = OrderedDict()
@@ -109,23 +109,23 @@
                 return
             stream = self.waiting.popleft()
             self.running[stream.request_id] = stream
-            start = max(self.play.now, self._prefill_free)
+            start = max(self.sim.now, self._prefill_free)
             work = self._uncached(stream.call) * 0.1 * self.slow
             self._prefill_free = start + work
             end = self._prefill_free + self._step()
-            self.play.at(end, self._prefilled, stream, self.life)
+            self.sim.at(end, self._prefilled, stream, self.incarnation)
 
     def _uncached(self, call):
-        held = 0
+        cached_depth = 0
         for depth, key in enumerate(call.keys, 1):
             if key in self.cache:
-                held = depth
+                cached_depth = depth
                 self.cache.move_to_end(key)
             else:
                 self.cache[key] = None
         while len(self.cache) > 200:
             self.cache.popitem(last=False)
-        cached = call.prompt * held // max(1, len(call.keys))
+        cached = call.prompt * cached_depth // max(1, len(call.keys))
         self.cached_tokens += cached
         self.prompt_tokens += call.prompt
         return call.prompt - cached
@@ -134,21 +134,21 @@
         return (15 + 0.35 * len(self.running)) * self.slow
 
     def _advance(self):
-        now = self.play.now
+        now = self.sim.now
         self._clock += (now - self._clock_ms) / self._step()
         self._clock_ms = now
 
-    def _prefilled(self, stream, life):
-        if life != self.life:
+    def _prefilled(self, stream, incarnation):
+        if incarnation != self.incarnation:
             return
         if self.poison and stream.call.body == self.poison:
             self.crash()
             return
         if self.fails:
             self._leave(stream)
-            self.play.end(stream, AttemptEnd.FAILED)
+            self.sim.end(stream, AttemptEnd.FAILED)
             return
-        self.play.first_token(stream)
+        self.sim.first_token(stream)
         self._advance()
         heappush(
             self._decoding,
@@ -160,8 +160,8 @@
         self._version += 1
         if self._decoding:
             left = max(0.0, self._decoding[0][0] - self._clock)
-            at = self.play.now + left * self._step()
-            self.play.at(at, self._step_end, self._version)
+            at = self.sim.now + left * self._step()
+            self.sim.at(at, self._step_end, self._version)
 
     def _step_end(self, version):
         if version != self._version:
@@ -170,7 +170,7 @@
         while self._decoding and self._decoding[0][0] <= self._clock + 1e-6:
             stream = heappop(self._decoding)[2]
             self._leave(stream)
-            self.play.end(stream, AttemptEnd.DONE)
+            self.sim.end(stream, AttemptEnd.DONE)
         self._next()
 
     def _leave(self, stream):
@@ -182,36 +182,36 @@
         """Lose all streams; come back after `restart_ms`."""
         lost = list(self.running.values())
         not_run = list(self.waiting)
-        self.play.crashes += end is AttemptEnd.CRASHED
-        self.life += 1
+        self.sim.crashes += end is AttemptEnd.CRASHED
+        self.incarnation += 1
         self.up = False
-        self.clean()
+        self.reset()
         alongside = tuple({fingerprint(s.call) for s in lost})
         loss = Loss.CRASHED
         if end is not AttemptEnd.CRASHED:
             alongside, loss = (), Loss.UNREACHABLE
         for stream in lost:
-            self.play.end(stream, end, alongside)
+            self.sim.end(stream, end, alongside)
         for stream in not_run:
-            self.play.end(stream, AttemptEnd.NOT_RUN)
-        for decisions in self.play.entries:
-            self.play.act(
+            self.sim.end(stream, AttemptEnd.NOT_RUN)
+        for decisions in self.sim.entries:
+            self.sim.act(
                 decisions,
                 decisions.endpoint_gone(
-                    int(self.play.now), self.endpoint_id, loss
+                    int(self.sim.now), self.endpoint_id, loss
                 ),
             )
         if restart_ms is not None:
-            self.play.at(self.play.now + restart_ms, self.come_up)
+            self.sim.at(self.sim.now + restart_ms, self.come_up)
 
     def come_up(self):
         self.up = True
         info = EndpointInfo(
             self.endpoint_id, self.data_centre, frozenset({MODEL})
         )
-        for decisions in self.play.entries:
-            out = decisions.endpoint_up(int(self.play.now), info)
-            self.play.act(decisions, out)
+        for decisions in self.sim.entries:
+            out = decisions.endpoint_up(int(self.sim.now), info)
+            self.sim.act(decisions, out)
 
     def report(self):
         return EndpointReport(
@@ -251,7 +251,7 @@
         self._order = itertools.count()
         self._ids = itertools.count()
         self._call_by_id: dict[str, Call] = {}
-        self._woken: dict[int, int] = {}
+        self._wake_ms_by_entry: dict[int, int] = {}
         rng = random.Random(seed)
         self.entries = [
             EntryDecisions(
@@ -324,8 +324,8 @@
                 self._refused(call, decision)
         wake = decisions.wake_ms()
         key = id(decisions)
-        if wake is not None and self._woken.get(key, -1) < self.now:
-            self._woken[key] = wake = max(wake, int(self.now) + 1)
+        if wake is not None and self._wake_ms_by_entry.get(key, -1) < self.now:
+            self._wake_ms_by_entry[key] = wake = max(wake, int(self.now) + 1)
             self.at(wake, self._tick, decisions)
 
     def _submit(self, engine, stream):
@@ -339,11 +339,11 @@
 
     def _refused(self, call, decision):
         call.refusals.append(decision)
-        again = self.resend(call, decision)
-        if again is None:
+        delay_ms = self.resend(call, decision)
+        if delay_ms is None:
             call.answered_ms = int(self.now)
         else:
-            self.at(self.now + again, self._arrive, call)
+            self.at(self.now + delay_ms, self._arrive, call)
 
     def first_token(self, stream):
         call = stream.call
@@ -385,10 +385,12 @@
             for suspect in decisions.new_suspects():
                 for other in self.entries:
                     other.suspected(int(self.now), suspect)
-            for told in decisions.new_convictions():
+            for conviction in decisions.new_convictions():
                 for other in self.entries:
                     out = other.convicted(
-                        int(self.now), told.fingerprint, told.for_ms
+                        int(self.now),
+                        conviction.fingerprint,
+                        conviction.for_ms,
                     )
                     self.act(other, out)
 
@@ -429,13 +431,13 @@
     return good * 1000 / (stop - start)
 
 
-def late_part(calls, start, stop):
+def late_share(calls, start, stop):
     """Return the part of the answered whose first token was late."""
     done = [c for c in calls if start <= c.at < stop and c.done_ms]
     return sum(1 for c in done if not c.good) / max(1, len(done))
 
 
-def quantile(values, part):
+def quantile(values, q):
     """Return a quantile of `values`, 0 if there are none."""
     ranked = sorted(values) or [0]
-    return ranked[min(len(ranked) - 1, int(part * len(ranked)))]
+    return ranked[min(len(ranked) - 1, int(q * len(ranked)))]
--- a/dahliashunt/decisions/tests/plays.py
+++ b/dahliashunt/decisions/tests/plays.py
@@ -11,7 +11,7 @@
 from dahliashunt.decisions.events import AttemptEnd
 from dahliashunt.decisions.tests.play import Call
 from dahliashunt.decisions.tests.play import goodput
-from dahliashunt.decisions.tests.play import late_part
+from dahliashunt.decisions.tests.play import late_share
 from dahliashunt.decisions.tests.play import Play
 from dahliashunt.decisions.tests.play import poisson
 from dahliashunt.decisions.tests.play import quantile
@@ -19,7 +19,7 @@
 CAPACITY = 61
 
 
-def usual(rng, callers=50, **fields):
+def typical_call(rng, callers=50, **fields):
     """Return a maker of the usual call."""
 
     def make(at):
@@ -41,28 +41,28 @@
 
 def saturation(policy: EntryPolicy, times: float, entries=1, seed=1):
     """Offer a multiple of the capacity for 40 s."""
-    play = Play(policy, entries=entries, seed=seed)
+    sim = Play(policy, entries=entries, seed=seed)
     rng = random.Random(seed)
-    play.send(poisson(rng, times * CAPACITY, 0, 40_000, usual(rng)))
-    play.run(60_000)
-    calls = play.calls
+    sim.send(poisson(rng, times * CAPACITY, 0, 40_000, typical_call(rng)))
+    sim.run(60_000)
+    calls = sim.calls
     return {
         "goodput": goodput(calls, 10_000, 40_000),
-        "late": late_part(calls, 10_000, 40_000),
+        "late": late_share(calls, 10_000, 40_000),
         "p95": quantile(first_tokens(calls, 10_000, 40_000), 0.95),
     }
 
 
 def burst(policy: EntryPolicy, resend=None, seed=1):
     """Half the capacity, and four times it for two seconds."""
-    play = Play(policy, seed=seed)
-    play.resend = resend or play.resend
+    sim = Play(policy, seed=seed)
+    sim.resend = resend or sim.resend
     rng = random.Random(seed)
-    make = usual(rng)
-    play.send(poisson(rng, 30, 0, 60_000, make))
-    play.send(poisson(rng, 210, 20_000, 22_000, make))
-    play.run(90_000)
-    calls = play.calls
+    make = typical_call(rng)
+    sim.send(poisson(rng, 30, 0, 60_000, make))
+    sim.send(poisson(rng, 210, 20_000, 22_000, make))
+    sim.run(90_000)
+    calls = sim.calls
     bad = [c for c in calls if c.first_at >= 22_000 and not c.good]
     good = [c for c in calls if 20_000 <= c.first_at < 22_000 and c.good]
     return {
@@ -76,16 +76,16 @@
 
 def hot_callers(policy: EntryPolicy, seed=1):
     """Two callers send 150 a second each, twenty send 1 a second each."""
-    play = Play(policy, seed=seed)
+    sim = Play(policy, seed=seed)
     rng = random.Random(seed)
     for i in range(22):
         rate = 150 if i < 2 else 1
-        make = usual(rng, 1)
+        make = typical_call(rng, 1)
         for call in poisson(rng, rate, 0, 40_000, make):
             call.caller = f"hot{i}" if i < 2 else f"c{i}"
-            play.send([call])
-    play.run(60_000)
-    calls = [c for c in play.calls if c.at >= 10_000]
+            sim.send([call])
+    sim.run(60_000)
+    calls = [c for c in sim.calls if c.at >= 10_000]
     got = Counter(c.caller for c in calls if c.good)
     sent = Counter(c.caller for c in calls)
     small = [got[c] / sent[c] for c in sent if not c.startswith("hot")]
@@ -98,17 +98,17 @@
 
 def long_among_short(policy: EntryPolicy, seed=1):
     """One caller sends long prompts and answers among short ones."""
-    play = Play(policy, seed=seed)
+    sim = Play(policy, seed=seed)
     rng = random.Random(seed)
-    play.send(poisson(rng, 45, 0, 40_000, usual(rng)))
+    sim.send(poisson(rng, 45, 0, 40_000, typical_call(rng)))
 
     def long_call(at):
         return Call("long", at, prompt=6_000, output=800, budget_ms=5_000)
 
-    play.send(poisson(rng, 3, 0, 40_000, long_call))
-    play.run(80_000)
-    short = [c for c in play.calls if c.caller != "long" and c.at >= 10_000]
-    long_ones = [c for c in play.calls if c.caller == "long"]
+    sim.send(poisson(rng, 3, 0, 40_000, long_call))
+    sim.run(80_000)
+    short = [c for c in sim.calls if c.caller != "long" and c.at >= 10_000]
+    long_ones = [c for c in sim.calls if c.caller == "long"]
     times = [c.first_ms for c in short if c.first_ms is not None]
     return {
         "short_good": sum(c.good for c in short) / len(short),
@@ -119,17 +119,17 @@
 
 def slow_endpoint(policy: EntryPolicy, seed=1):
     """One of five engines is eight times slower from 10 s to 30 s."""
-    play = Play(policy, seed=seed)
+    sim = Play(policy, seed=seed)
     rng = random.Random(seed)
-    play.send(poisson(rng, 40, 0, 50_000, usual(rng)))
-    slow = play.engines[0]
-    play.at(10_000, setattr, slow, "slow", 8.0)
-    play.at(30_000, setattr, slow, "slow", 1.0)
+    sim.send(poisson(rng, 40, 0, 50_000, typical_call(rng)))
+    slow = sim.engines[0]
+    sim.at(10_000, setattr, slow, "slow", 8.0)
+    sim.at(30_000, setattr, slow, "slow", 1.0)
     before = {}
-    play.at(40_000, lambda: before.update(p=slow.prompt_tokens))
-    play.run(80_000)
-    times = first_tokens(play.calls, 10_000, 30_000)
-    calls = [c for c in play.calls if 10_000 <= c.at < 30_000]
+    sim.at(40_000, lambda: before.update(p=slow.prompt_tokens))
+    sim.run(80_000)
+    times = first_tokens(sim.calls, 10_000, 30_000)
+    calls = [c for c in sim.calls if 10_000 <= c.at < 30_000]
     back = (slow.prompt_tokens - before["p"]) / 400 / 10
     return {
         "good": sum(c.good for c in calls) / len(calls),
@@ -140,16 +140,16 @@
 
 def failing_endpoint(policy: EntryPolicy, seed=1):
     """One of five engines fails all it is given from 10 s to 20 s."""
-    play = Play(policy, seed=seed)
+    sim = Play(policy, seed=seed)
     rng = random.Random(seed)
-    play.send(poisson(rng, 30, 0, 40_000, usual(rng)))
-    bad = play.engines[0]
-    play.at(10_000, setattr, bad, "fails", True)
-    play.at(20_000, setattr, bad, "fails", False)
+    sim.send(poisson(rng, 30, 0, 40_000, typical_call(rng)))
+    bad = sim.engines[0]
+    sim.at(10_000, setattr, bad, "fails", True)
+    sim.at(20_000, setattr, bad, "fails", False)
     before = {}
-    play.at(30_000, lambda: before.update(p=bad.prompt_tokens))
-    play.run(60_000)
-    calls = [c for c in play.calls if 10_000 <= c.at < 20_000]
+    sim.at(30_000, lambda: before.update(p=bad.prompt_tokens))
+    sim.run(60_000)
+    calls = [c for c in sim.calls if 10_000 <= c.at < 20_000]
     return {
         "good": sum(c.good for c in calls) / len(calls),
         "runs": sum(c.runs for c in calls) / len(calls),
@@ -159,18 +159,18 @@
 
 def lost_data_centre(policy: EntryPolicy, seed=1):
     """Six engines at three quarters; a data centre with two goes."""
-    play = Play(policy, engines=6, entries=3, seed=seed)
+    sim = Play(policy, engines=6, entries=3, seed=seed)
     rng = random.Random(seed)
-    play.send(poisson(rng, 55, 0, 60_000, usual(rng)))
-    for engine in play.engines:
+    sim.send(poisson(rng, 55, 0, 60_000, typical_call(rng)))
+    for engine in sim.engines:
         if engine.data_centre == "b":
-            play.at(20_000, engine.crash, AttemptEnd.UNKNOWN, 20_000)
-    play.run(90_000)
-    calls = [c for c in play.calls if 21_000 <= c.at < 40_000]
-    after = [c for c in play.calls if 45_000 <= c.at < 60_000]
+            sim.at(20_000, engine.crash, AttemptEnd.UNKNOWN, 20_000)
+    sim.run(90_000)
+    calls = [c for c in sim.calls if 21_000 <= c.at < 40_000]
+    after = [c for c in sim.calls if 45_000 <= c.at < 60_000]
     return {
-        "goodput": goodput(play.calls, 21_000, 40_000),
-        "late": late_part(play.calls, 21_000, 40_000),
+        "goodput": goodput(sim.calls, 21_000, 40_000),
+        "late": late_share(sim.calls, 21_000, 40_000),
         "p95": quantile(first_tokens(calls, 0, 90_000), 0.95),
         "good_after": sum(c.good for c in after) / len(after),
     }
@@ -178,13 +178,13 @@
 
 def stale_reports(policy: EntryPolicy, missing: tuple[int, ...], seed=1):
     """Three entries; some engines' reports stop after 5 s."""
-    play = Play(policy, entries=3, seed=seed)
+    sim = Play(policy, entries=3, seed=seed)
     rng = random.Random(seed)
-    play.send(poisson(rng, 50, 0, 40_000, usual(rng)))
+    sim.send(poisson(rng, 50, 0, 40_000, typical_call(rng)))
     for i in missing:
-        play.at(5_000, setattr, play.engines[i], "reports", False)
-    play.run(60_000)
-    calls = [c for c in play.calls if c.at >= 10_000]
+        sim.at(5_000, setattr, sim.engines[i], "reports", False)
+    sim.run(60_000)
+    calls = [c for c in sim.calls if c.at >= 10_000]
     return {
         "good": sum(c.good for c in calls) / len(calls),
         "p95": quantile(first_tokens(calls, 0, 90_000), 0.95),
@@ -193,7 +193,7 @@
 
 def prefixes(policy: EntryPolicy, hot=0.0, seed=1, rate=35):
     """Conversations with long shared prefixes; a part is on one key."""
-    play = Play(policy, entries=3, seed=seed)
+    sim = Play(policy, entries=3, seed=seed)
     rng = random.Random(seed)
 
     def make(at):
@@ -209,12 +209,12 @@
             keys=keys,
         )
 
-    play.send(poisson(rng, rate, 0, 60_000, make))
-    play.run(90_000)
-    calls = [c for c in play.calls if c.at >= 10_000]
-    cached = sum(e.cached_tokens for e in play.engines)
+    sim.send(poisson(rng, rate, 0, 60_000, make))
+    sim.run(90_000)
+    calls = [c for c in sim.calls if c.at >= 10_000]
+    cached = sum(e.cached_tokens for e in sim.engines)
     return {
-        "hits": cached / sum(e.prompt_tokens for e in play.engines),
+        "hits": cached / sum(e.prompt_tokens for e in sim.engines),
         "good": sum(c.good for c in calls) / len(calls),
         "p95": quantile(first_tokens(calls, 0, 90_000), 0.95),
     }
@@ -222,20 +222,20 @@
 
 def poison(policy: EntryPolicy, entries=3, resend=None, seed=1):
     """One request crashes each engine that runs it; it is sent again."""
-    play = Play(policy, engines=6, entries=entries, seed=seed)
-    play.resend = resend or play.resend
+    sim = Play(policy, engines=6, entries=entries, seed=seed)
+    sim.resend = resend or sim.resend
     rng = random.Random(seed)
-    play.send(poisson(rng, 30, 0, 60_000, usual(rng)))
-    for engine in play.engines:
+    sim.send(poisson(rng, 30, 0, 60_000, typical_call(rng)))
+    for engine in sim.engines:
         engine.poison = "bad"
     bad = [
         Call("clumsy", at, body="bad") for at in range(20_000, 50_000, 1_500)
     ]
-    play.send(bad)
-    play.run(90_000)
-    rest = [c for c in play.calls if not c.body and c.at >= 20_000]
+    sim.send(bad)
+    sim.run(90_000)
+    rest = [c for c in sim.calls if not c.body and c.at >= 20_000]
     return {
-        "crashes": play.crashes,
+        "crashes": sim.crashes,
         "bad_answers": Counter(
             c.refusals[-1].kind.value for c in bad if c.refusals
         ),
@@ -249,45 +249,45 @@
 
 def one_kind(policy: EntryPolicy, rate, seed=1, stop=40_000, **fields):
     """One kind of call alone; the figures are of what comes after 10 s."""
-    play = Play(policy, seed=seed)
+    sim = Play(policy, seed=seed)
     rng = random.Random(seed)
 
     def make(at):
         return Call(f"c{rng.randrange(50)}", at, **fields)
 
-    play.send(poisson(rng, rate, 0, stop, make))
-    play.run(stop + 60_000)
-    calls = [c for c in play.calls if c.at >= 10_000]
+    sim.send(poisson(rng, rate, 0, stop, make))
+    sim.run(stop + 60_000)
+    calls = [c for c in sim.calls if c.at >= 10_000]
     return {
         "good": sum(c.good for c in calls) / len(calls),
         "p95": quantile(first_tokens(calls, 0, 10**9), 0.95),
-        "limit": min(e.limit for e in play.entries[0].status().endpoints),
+        "limit": min(e.limit for e in sim.entries[0].status().endpoints),
     }
 
 
 def cold_start(policy: EntryPolicy, seed=1):
     """Nine tenths of the capacity from the first moment on."""
-    play = Play(policy, seed=seed)
+    sim = Play(policy, seed=seed)
     rng = random.Random(seed)
-    play.send(poisson(rng, 55, 0, 10_000, usual(rng)))
-    play.run(40_000)
-    bad = [c.at for c in play.calls if not c.good]
+    sim.send(poisson(rng, 55, 0, 10_000, typical_call(rng)))
+    sim.run(40_000)
+    bad = [c.at for c in sim.calls if not c.good]
     return {"bad": len(bad), "last_bad_ms": max(bad, default=0)}
 
 
 def hot_and_long(policy: EntryPolicy, entries=1, small=40, seed=1):
     """Two callers send 20 long calls a second each among small callers."""
-    play = Play(policy, entries=entries, seed=seed)
+    sim = Play(policy, entries=entries, seed=seed)
     rng = random.Random(seed)
-    play.send(poisson(rng, small, 0, 60_000, usual(rng, 40)))
+    sim.send(poisson(rng, small, 0, 60_000, typical_call(rng, 40)))
     for name in ("hot0", "hot1"):
 
         def long_call(at, name=name):
             return Call(name, at, output=600, budget_ms=5_000)
 
-        play.send(poisson(rng, 20, 0, 60_000, long_call))
-    play.run(120_000)
-    calls = [c for c in play.calls if c.at >= 15_000]
+        sim.send(poisson(rng, 20, 0, 60_000, long_call))
+    sim.run(120_000)
+    calls = [c for c in sim.calls if c.at >= 15_000]
     others = [c.good for c in calls if not c.caller.startswith("hot")]
     done = [c.good * c.output for c in calls if c.caller.startswith("hot")]
     return {
--- a/dahliashunt/decisions/tests/test_caps.py
+++ b/dahliashunt/decisions/tests/test_caps.py
@@ -19,41 +19,41 @@
 
 RATE, BURST, ALLOWANCE = 20.0, 20.0, 5.0
 LIMIT = RateLimit(RATE, BURST + ALLOWANCE, revision=1)
-ENTRIES, METERS = 29, 21
-HOT = 9
+ENTRIES, METER_HOSTS = 29, 21
+HOT_FACTOR = 9
 SECONDS = 20
 
 
-def hot_play(policy, seed, callers=ENTRIES, times=HOT, **how):
+def hot_simulation(policy, seed, callers=ENTRIES, times=HOT_FACTOR, **options):
     """Return a play with a workspace at `times` its limit."""
-    play = CapPlay(policy, ENTRIES, METERS, LIMIT, seed, **how)
+    sim = CapPlay(policy, ENTRIES, METER_HOSTS, LIMIT, seed, **options)
     rng = random.Random(seed)
     for at_ms in arrivals(rng, times * RATE, 0, SECONDS * 1000):
-        play.send(at_ms, rng.randrange(callers), 7)
-    return play
+        sim.send(at_ms, rng.randrange(callers), 7)
+    return sim
 
 
-def usual_play(policy, seed, callers):
+def light_simulation(policy, seed, callers):
     """Return a play with a workspace below its limit, on few entries."""
-    return hot_play(policy, seed, callers, times=0.6)
+    return hot_simulation(policy, seed, callers, times=0.6)
 
 
 @pytest.mark.parametrize("policy", list(CAPS))
 @pytest.mark.parametrize("seed", range(4))
 def test_a_hot_workspace_is_held_to_its_limit(policy, seed):
     """Guards against a limit that each entry grants anew."""
-    play = hot_play(policy, seed)
-    play.run(30_000)
-    assert overruns(play, 7, LIMIT, BURST) <= 0
+    sim = hot_simulation(policy, seed)
+    sim.run(30_000)
+    assert overruns(sim, 7, LIMIT, BURST) <= 0
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_below_its_limit_a_workspace_is_not_refused(seed):
     """Guards against refusals of a caller that hangs on two entries."""
-    play = usual_play("metered", seed, callers=2)
-    play.run(30_000)
-    assert lost(play, 7, RATE, BURST) <= 0
-    shares = usual_play("equal-share", seed, callers=2)
+    sim = light_simulation("metered", seed, callers=2)
+    sim.run(30_000)
+    assert lost(sim, 7, RATE, BURST) <= 0
+    shares = light_simulation("equal-share", seed, callers=2)
     shares.run(30_000)
     assert lost(shares, 7, RATE, BURST) > 0.5 * len(shares.requests)
 
@@ -61,101 +61,101 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_at_its_limit_a_workspace_gets_all_of_it(seed):
     """Guards against a hot workspace that is refused what it may send."""
-    play = hot_play("metered", seed, times=4)
-    play.run(30_000)
-    assert lost(play, 7, RATE, BURST) <= 0
+    sim = hot_simulation("metered", seed, times=4)
+    sim.run(30_000)
+    assert lost(sim, 7, RATE, BURST) <= 0
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_far_from_the_limit_no_request_waits_for_a_meter(seed):
     """Guards against a round trip for every request."""
-    play = usual_play("metered", seed, callers=ENTRIES)
-    play.run(30_000)
-    waited = [r for r in play.requests if r.decided_ms > r.at_ms]
-    assert len(waited) < 0.1 * len(play.requests)
+    sim = light_simulation("metered", seed, callers=ENTRIES)
+    sim.run(30_000)
+    waited = [r for r in sim.requests if r.decided_ms > r.at_ms]
+    assert len(waited) < 0.1 * len(sim.requests)
 
 
-def split(play, numbers, hosts, from_ms, until_ms):
+def split(sim, numbers, hosts, from_ms, until_ms):
     """Cut entries `numbers` with the meters `hosts` off the others."""
 
     def is_cut(number, host):
-        if not from_ms <= play.now_ms < until_ms:
+        if not from_ms <= sim.now_ms < until_ms:
             return False
         return (number in numbers) != (host in hosts)
 
-    play.cut = is_cut
+    sim.cut = is_cut
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_two_halves_of_a_fleet_stay_within_the_limit(seed):
     """Guards against a limit that each half of a split fleet grants."""
-    play = hot_play("metered", seed)
-    hosts = {f"m{n}" for n in range(METERS // 2)}
-    split(play, set(range(ENTRIES // 2)), hosts, 4_000, 16_000)
-    play.run(30_000)
-    assert overruns(play, 7, LIMIT, BURST) <= 0
+    sim = hot_simulation("metered", seed)
+    hosts = {f"m{n}" for n in range(METER_HOSTS // 2)}
+    split(sim, set(range(ENTRIES // 2)), hosts, 4_000, 16_000)
+    sim.run(30_000)
+    assert overruns(sim, 7, LIMIT, BURST) <= 0
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_entries_without_any_meter_go_by_their_shares(seed):
     """Guards against callers that are shut out, or let in unbounded."""
-    play = hot_play("metered", seed)
-    split(play, set(range(ENTRIES)), set(), 4_000, 30_000)
-    play.run(30_000)
-    assert overruns(play, 7, LIMIT, BURST) <= 0
-    late = [ms for ms in play.admitted(7) if 9_000 <= ms < 19_000]
+    sim = hot_simulation("metered", seed)
+    split(sim, set(range(ENTRIES)), set(), 4_000, 30_000)
+    sim.run(30_000)
+    assert overruns(sim, 7, LIMIT, BURST) <= 0
+    late = [ms for ms in sim.admitted(7) if 9_000 <= ms < 19_000]
     assert len(late) > 0.7 * RATE * 10
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_killed_entries_and_meters_leave_the_count_standing(seed):
     """Guards against a limit that starts anew with each loss."""
-    play = hot_play("metered", seed)
+    sim = hot_simulation("metered", seed)
     rng = random.Random(seed)
     for at_ms in range(1_000, SECONDS * 1000, 700):
         number = rng.randrange(ENTRIES)
-        play.at(at_ms, lambda n=number: play.kill_entry(n))
-    meters = play._meters_of(7)
+        sim.at(at_ms, lambda n=number: sim.kill_entry(n))
+    meters = sim._meters_of(7)
     for at_ms, host in zip((4_000, 10_000, 16_000), meters, strict=True):
-        play.at(at_ms, lambda h=host: play.kill_meter(h))
-    play.run(30_000)
-    assert overruns(play, 7, LIMIT, BURST) <= 0
+        sim.at(at_ms, lambda h=host: sim.kill_meter(h))
+    sim.run(30_000)
+    assert overruns(sim, 7, LIMIT, BURST) <= 0
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_lost_doubled_and_late_messages_change_no_count(seed):
     """Guards against reports that are counted twice or never."""
-    play = hot_play("metered", seed)
-    play.loss, play.doubling = 0.1, 0.2
-    play.run(30_000)
-    assert overruns(play, 7, LIMIT, BURST) <= 0
-    assert lost(play, 7, RATE, BURST) < 0.02 * len(play.admitted(7))
+    sim = hot_simulation("metered", seed)
+    sim.loss, sim.doubling = 0.1, 0.2
+    sim.run(30_000)
+    assert overruns(sim, 7, LIMIT, BURST) <= 0
+    assert lost(sim, 7, RATE, BURST) < 0.02 * len(sim.admitted(7))
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_frozen_entry_lets_in_nothing_it_held(seed):
     """Guards against old credit of an entry that stood still."""
-    play = hot_play("metered", seed)
+    sim = hot_simulation("metered", seed)
     for number in range(8):
-        play.at(5_000, lambda n=number: play.freeze(n, 6_000))
-    play.run(30_000)
-    assert overruns(play, 7, LIMIT, BURST) <= 0
+        sim.at(5_000, lambda n=number: sim.freeze(n, 6_000))
+    sim.run(30_000)
+    assert overruns(sim, 7, LIMIT, BURST) <= 0
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_lowered_limit_binds_entries_that_have_not_heard_of_it(seed):
     """Guards against an entry that asks by a limit that was taken back."""
-    play = hot_play("metered", seed)
+    sim = hot_simulation("metered", seed)
     lower = RateLimit(RATE / 4, BURST / 4 + ALLOWANCE, revision=2)
 
     def lower_for_most():
         for number in range(3, ENTRIES):
-            play.limit_by_entry[number] = lower
+            sim.limit_by_entry[number] = lower
 
-    play.at(6_000, lower_for_most)
-    play.run(30_000)
-    play.requests = [r for r in play.requests if r.decided_ms >= 11_000]
-    assert overruns(play, 7, lower, BURST / 4) <= 0
+    sim.at(6_000, lower_for_most)
+    sim.run(30_000)
+    sim.requests = [r for r in sim.requests if r.decided_ms >= 11_000]
+    assert overruns(sim, 7, lower, BURST / 4) <= 0
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -178,20 +178,20 @@
 ):
     """Guards against orders of faults that nobody thought of."""
     limit = RateLimit(rate, rate + ALLOWANCE, 1)
-    play = CapPlay("metered", 12, 5, limit, seed)
-    play.loss = loss
+    sim = CapPlay("metered", 12, 5, limit, seed)
+    sim.loss = loss
     rng = random.Random(seed)
     for at_ms in arrivals(rng, times * rate, 0, 14_000):
-        play.send(at_ms, rng.randrange(12), 7)
+        sim.send(at_ms, rng.randrange(12), 7)
     for kind, at_ms, number in faults:
         act = {
-            "entry": lambda n=number: play.kill_entry(n),
-            "meter": lambda n=number: play.kill_meter(f"m{n % 5}"),
-            "freeze": lambda n=number: play.freeze(n, 3_000),
+            "entry": lambda n=number: sim.kill_entry(n),
+            "meter": lambda n=number: sim.kill_meter(f"m{n % 5}"),
+            "freeze": lambda n=number: sim.freeze(n, 3_000),
         }[kind]
-        play.at(at_ms, act)
-    play.run(25_000)
-    assert overruns(play, 7, limit, rate) <= 0
+        sim.at(at_ms, act)
+    sim.run(25_000)
+    assert overruns(sim, 7, limit, rate) <= 0
 
 
 def report(total, sequence, wanted=0, since=0, life=1, limit=LIMIT):
@@ -237,14 +237,14 @@
 
 def test_a_request_that_did_not_run_is_given_back():
     """Guards against refusals by replicas that use up a limit."""
-    play = CapPlay("metered", 1, 3, LIMIT)
-    policy = play.entries[0].policy
+    sim = CapPlay("metered", 1, 3, LIMIT)
+    policy = sim.entries[0].policy
     for n in range(200):
-        play.now_ms = 10 * n
-        assert policy.take(play.now_ms, 7, LIMIT).value == "admitted"
-        policy.give_back(play.now_ms, 7, LIMIT)
-        play._flush(0)
-        play.run(play.now_ms + 10)
+        sim.now_ms = 10 * n
+        assert policy.take(sim.now_ms, 7, LIMIT).value == "admitted"
+        policy.give_back(sim.now_ms, 7, LIMIT)
+        sim._flush(0)
+        sim.run(sim.now_ms + 10)
 
 
 def test_a_meter_forgets_workspaces_and_counts_that_ended():
@@ -256,18 +256,18 @@
         meter.report(now_ms, "b", Report(7, second, 1, 1, 0, 0, LIMIT))
         meter.report(now_ms, "b", Report(second, 1, 1, 1, 0, 0, LIMIT))
     assert len(meter) < 30
-    assert len(meter._metered_by_workspace[7].counted_by_life) < 30
+    assert len(meter._use_by_workspace[7].count_by_life) < 30
 
 
 def test_two_halves_of_a_large_fleet_stay_within_the_limit():
     """Guards against least shares that add up to more than the limit."""
     rate, entries = 300.0, 500
     limit = RateLimit(rate, rate + ALLOWANCE, 1)
-    play = CapPlay("metered", entries, 64, limit, seed=1)
+    sim = CapPlay("metered", entries, 64, limit, seed=1)
     rng = random.Random(1)
-    for at_ms in arrivals(rng, HOT * rate, 0, 14_000):
-        play.send(at_ms, rng.randrange(entries), 7)
+    for at_ms in arrivals(rng, HOT_FACTOR * rate, 0, 14_000):
+        sim.send(at_ms, rng.randrange(entries), 7)
     near = set(range(entries // 2))
-    split(play, near, set(play._meters_of(7)[:1]), 4_000, 16_000)
-    play.run(16_000)
-    assert overruns(play, 7, limit, rate) <= 0
+    split(sim, near, set(sim._meters_of(7)[:1]), 4_000, 16_000)
+    sim.run(16_000)
+    assert overruns(sim, 7, limit, rate) <= 0
--- a/dahliashunt/decisions/tests/test_plays.py
+++ b/dahliashunt/decisions/tests/test_plays.py
@@ -20,13 +20,13 @@
     # and the fleet works at full load for answers that nobody awaits.
     good = {}
     for times in (1, 2, 5):
-        got = [
+        result = [
             plays.saturation(POLICY, times, entries, seed)
             for seed in (1, 2, 3)
         ]
-        good[times] = sum(g["goodput"] for g in got) / len(got)
-        assert max(g["late"] for g in got) < 0.02
-        assert max(g["p95"] for g in got) < 900
+        good[times] = sum(g["goodput"] for g in result) / len(result)
+        assert max(g["late"] for g in result) < 0.02
+        assert max(g["p95"] for g in result) < 900
     assert min(good.values()) > 0.95 * max(good.values())
     assert min(good.values()) > 0.92 * plays.CAPACITY
     assert plays.saturation(BASELINE, 2)["goodput"] < 1
@@ -36,13 +36,13 @@
     # A collection comes in: four times the capacity for two seconds.
     # Sent on at once, it fills the engines' prefill, and callers who come
     # seconds after it still get their first token too late.
-    got = plays.burst(POLICY)
+    result = plays.burst(POLICY)
     base = plays.burst(BASELINE)
     p95 = [plays.burst(POLICY, seed=seed)["p95"] for seed in (1, 2, 3)]
-    assert got["good"] > 1.1 * base["good"]
+    assert result["good"] > 1.1 * base["good"]
     assert sum(p95) / 3 < 1_000
     assert max(p95) < 1_100
-    assert got["recovery_ms"] < 1_000
+    assert result["recovery_ms"] < 1_000
     assert base["recovery_ms"] > 5_000
 
 
@@ -50,26 +50,26 @@
     # Refused callers ask again after 50 ms, whatever Retry-After says:
     # three times the requests. Each refusal must stay cheap and early,
     # or the resends keep the fleet overloaded after the burst.
-    got = plays.burst(POLICY, impatient)
-    assert got["sends"] > 5_000
-    assert got["bad_after"] < 10
-    assert got["recovery_ms"] < 3_000
+    result = plays.burst(POLICY, impatient)
+    assert result["sends"] > 5_000
+    assert result["bad_after"] < 10
+    assert result["recovery_ms"] < 3_000
 
 
 def test_retry_after_brings_clients_back_when_there_is_room():
     # Refused callers come back when told. If all were told the same time
     # they would come back as a second burst and be refused again.
-    got = plays.burst(POLICY, obedient)
-    assert got["good"] > 2 * plays.burst(POLICY)["good"]
-    assert got["bad_after"] < 10
+    result = plays.burst(POLICY, obedient)
+    assert result["good"] > 2 * plays.burst(POLICY)["good"]
+    assert result["bad_after"] < 10
 
 
 def test_two_hot_callers_do_not_starve_twenty_small_ones():
     # Two import jobs send 150 a second each; foremen send one a second.
     # First come first served gives slots by who asks most often.
-    got = plays.hot_callers(POLICY)
-    assert got["small_least"] > 0.9
-    assert got["small_mean"] + got["hot"] / 20 > 2.8
+    result = plays.hot_callers(POLICY)
+    assert result["small_least"] > 0.9
+    assert result["small_mean"] + result["hot"] / 20 > 2.8
     by_arrival = replace(POLICY, order="fcfs", over_share=float("inf"))
     assert plays.hot_callers(by_arrival)["small_mean"] < 0.5
 
@@ -94,10 +94,10 @@
     # One caller sends prompts of 6,000 tokens with long answers among
     # short questions, 10% more than fits. Each long one that is let in
     # takes the slots of ten short ones for twenty seconds.
-    got = plays.long_among_short(POLICY)
+    result = plays.long_among_short(POLICY)
     shared = replace(POLICY, order="fcfs", over_share=float("inf"))
-    assert got["short_good"] > 0.85
-    assert got["short_good"] > plays.long_among_short(shared)["short_good"]
+    assert result["short_good"] > 0.85
+    assert result["short_good"] > plays.long_among_short(shared)["short_good"]
     assert plays.long_among_short(BASELINE)["short_good"] < 0.3
 
 
@@ -106,9 +106,9 @@
     # 5 s. Taken for congestion, each first token would lower the limits
     # until the fleet refused half of a load that fits it twice.
     load = {"rate": 4, "prompt": 6_000, "output": 800, "budget_ms": 5_000}
-    got = plays.one_kind(POLICY, stop=200_000, **load)
+    result = plays.one_kind(POLICY, stop=200_000, **load)
     fixed = replace(POLICY, first_token_slack_ms=400, unloaded_times=0.0)
-    assert got["good"] > 0.97
+    assert result["good"] > 0.97
     assert plays.one_kind(fixed, stop=200_000, **load)["good"] < 0.6
 
 
@@ -122,19 +122,19 @@
     # One engine is eight times slower for 20 s, then healthy. In turn
     # with the others it makes a fifth of all callers wait; and one that
     # is avoided for good would leave the fleet short.
-    got = plays.slow_endpoint(POLICY)
-    assert got["good"] > 0.98
-    assert got["back_rate"] > 4
+    result = plays.slow_endpoint(POLICY)
+    assert result["good"] > 0.98
+    assert result["back_rate"] > 4
     assert plays.slow_endpoint(BASELINE)["good"] < 0.9
 
 
 def test_failing_endpoint_is_ejected_and_probed_back():
     # One engine fails all it gets, at once, so it always looks idle and
     # draws the traffic. Retries hide it until their budget is used up.
-    got = plays.failing_endpoint(POLICY)
-    assert got["good"] > 0.98
-    assert got["runs"] < 1.1
-    assert got["back_rate"] > 3
+    result = plays.failing_endpoint(POLICY)
+    assert result["good"] > 0.98
+    assert result["runs"] < 1.1
+    assert result["back_rate"] > 3
     kept = replace(POLICY, eject_part=0.0)
     assert plays.failing_endpoint(kept)["good"] < 0.6
 
@@ -143,10 +143,10 @@
     # At three quarters of the capacity a data centre with a third of the
     # engines is cut off. Its load and the retries land on the others,
     # which must refuse what is too much and keep the rest in time.
-    got = plays.lost_data_centre(POLICY)
-    assert got["goodput"] > 0.9 * plays.CAPACITY * 4 / 5
-    assert got["late"] < 0.02
-    assert got["good_after"] > 0.99
+    result = plays.lost_data_centre(POLICY)
+    assert result["goodput"] > 0.9 * plays.CAPACITY * 4 / 5
+    assert result["late"] < 0.02
+    assert result["good_after"] > 0.99
     unlimited = replace(POLICY, limit="none")
     assert plays.lost_data_centre(unlimited)["late"] > 0.5
 
@@ -155,9 +155,9 @@
 def test_stale_and_missing_reports(missing):
     # Reports of one or of all endpoints stop. An endpoint that is silent
     # must not look idle and draw all traffic of three entries.
-    got = plays.stale_reports(POLICY, missing)
-    assert got["good"] > 0.98
-    assert got["p95"] < 500
+    result = plays.stale_reports(POLICY, missing)
+    assert result["good"] > 0.98
+    assert result["p95"] < 500
 
 
 @pytest.mark.parametrize("hot", [0.0, 0.5])
@@ -165,31 +165,31 @@
     # 150 conversations go on in turn; in the second play one of them is
     # half of all traffic. Sent anywhere, each prompt is prefilled anew;
     # sent by its key alone, the hot one's home would drown.
-    got = plays.prefixes(POLICY, hot)
+    result = plays.prefixes(POLICY, hot)
     others = plays.prefixes(replace(POLICY, routing="two_choices"), hot)
-    assert got["hits"] > others["hits"] + 0.05
-    assert got["good"] > 0.98
-    assert got["p95"] < others["p95"]
+    assert result["hits"] > others["hits"] + 0.05
+    assert result["good"] > 0.98
+    assert result["p95"] < others["p95"]
 
 
 def test_prefixes_are_kept_under_saturation():
     # Three times what the prefills can do without a cache. One endpoint
     # at a time comes free; if the first in the queue took it, caches
     # would lose their prefixes just when they are needed most.
-    got = plays.prefixes(POLICY, rate=110)
+    result = plays.prefixes(POLICY, rate=110)
     others = replace(POLICY, routing="two_choices")
-    assert got["hits"] > 0.65
-    assert got["good"] > 1.1 * plays.prefixes(others, rate=110)["good"]
+    assert result["hits"] > 0.65
+    assert result["good"] > 1.1 * plays.prefixes(others, rate=110)["good"]
 
 
 def test_poison_request_crashes_a_bounded_number_of_endpoints():
     # One request crashes each engine that runs it, and its caller sends
     # it again every 1.5 s through three entries. Without suspects each
     # resend takes an engine and all that runs there with it.
-    got = plays.poison(POLICY)
-    assert got["crashes"] <= 2 + 2
-    assert got["bad_answers"] == {"convicted": 20}
-    assert got["others_convicted"] == 0
-    assert got["others_done"] > 0.99
+    result = plays.poison(POLICY)
+    assert result["crashes"] <= 2 + 2
+    assert result["bad_answers"] == {"convicted": 20}
+    assert result["others_convicted"] == 0
+    assert result["others_done"] > 0.99
     blind = replace(POLICY, crashes_max=10**6, suspect_for_ms=0)
     assert plays.poison(blind)["crashes"] > 15
