--- a/dahliashunt/decisions/events.py
+++ b/dahliashunt/decisions/events.py
@@ -1,7 +1,7 @@
-"""Typed events into the decisions, and typed decisions out of them.
+"""Input events and output decisions of the decision modules.
 
-Everything here is plain data. ``now`` is always monotonic milliseconds of
-the deciding process; work is measured in tokens.
+All types are plain data. ``now`` is the monotonic time of the deciding
+process in milliseconds; work is measured in tokens.
 """
 
 from dataclasses import dataclass
@@ -38,14 +38,14 @@
 
 
 class Priority(enum.Enum):
-    """Whether a caller waits for the answer now."""
+    """Priority class of a request."""
 
     ONLINE = "online"
     BATCH = "batch"
 
 
 class AttemptEnd(enum.Enum):
-    """How one attempt ended, as far as the entry can know."""
+    """Outcome of an attempt, as far as the entry can know."""
 
     DONE = "done"
     NOT_RUN = "not_run"
@@ -55,7 +55,7 @@
 
 
 class Loss(enum.Enum):
-    """Why an endpoint is not to be used."""
+    """Reason why an endpoint is unavailable."""
 
     CRASHED = "crashed"
     UNREACHABLE = "unreachable"
@@ -63,7 +63,7 @@
 
 
 class PreemptHow(enum.Enum):
-    """What happens to a batch stream that is stopped."""
+    """Way in which a batch stream is preempted."""
 
     RESUME = "resume"
     EXPORT_KV = "export_kv"
@@ -72,16 +72,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OnlineRequest:
-    """An online request that was authenticated and understood.
+    """An authenticated and parsed online request.
 
     Attributes
     ----------
     prompt_tokens, max_tokens : int
-        Estimated size of the prompt; most tokens the answer may have.
+        Estimated size of the prompt; maximum size of the answer.
     prefix_keys : tuple of int
-        Hashes of the prompt's growing block prefixes, shortest first.
+        Hashes of the prompt's block prefixes, shortest first.
     first_token_by_ms : int
-        Monotonic time by which the first token is wanted.
+        Deadline of the first token, in monotonic time.
     may_repeat : bool
         Whether the call is idempotent.
     """
@@ -104,9 +104,9 @@
     Attributes
     ----------
     weight : float
-        Its part when callers compete.
+        Weight in fair queueing.
     tokens_a_second : int or None
-        Hard limit on work, burst of `burst_s` seconds.
+        Hard limit on work, with a burst of `burst_s` seconds.
     """
 
     weight: float = 1.0
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointInfo:
-    """An endpoint that a link reaches."""
+    """An endpoint that is reachable over a link."""
 
     endpoint_id: EndpointId
     data_centre: DataCentreId
@@ -127,8 +127,8 @@
 class EndpointReport:
     """An agent's report on its endpoint, `age_ms` old on arrival.
 
-    `quarantined` says that a suspect runs or waits there to run alone,
-    so that other work is better sent elsewhere.
+    `quarantined` means that a suspect runs there alone or waits to do so;
+    other work should go elsewhere.
     """
 
     endpoint_id: EndpointId
@@ -149,7 +149,7 @@
 class Dispatch:
     """Send the request to the endpoint now.
 
-    `alone` marks a suspect, which runs with nothing else beside it.
+    `alone` marks a suspect, which must run without other work beside it.
     """
 
     request_id: RequestId
@@ -159,10 +159,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """Give the request its final answer now.
+    """Answer the request with a final error now.
 
-    `ran` is what can be said of it; `retry_after_ms` is None where a
-    resend cannot succeed.
+    `ran` says whether it may have run; `retry_after_ms` is None if a retry
+    cannot succeed.
     """
 
     request_id: RequestId
@@ -174,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """One attempt that an agent is asked to run."""
+    """An attempt that an agent is asked to run."""
 
     attempt_id: AttemptId
     priority: Priority
@@ -198,9 +198,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnAway:
-    """Refuse the attempt, now.
+    """Refuse the attempt now.
 
-    `ran` is ``NO`` but for a preempted batch stream, which had begun.
+    `ran` is ``NO`` except for a preempted batch stream, which had started.
     """
 
     attempt_id: AttemptId
@@ -211,7 +211,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Preempt:
-    """Stop a batch stream in the engine, in the way given."""
+    """Stop a batch stream in the engine as given by `how`."""
 
     attempt_id: AttemptId
     how: PreemptHow
--- a/dahliashunt/decisions/fair.py
+++ b/dahliashunt/decisions/fair.py
@@ -1,40 +1,35 @@
-"""Order among callers, and who is over its share.
+"""Fair queueing among callers, and detection of callers over their share.
 
-Load pattern: a few callers send most of the work, or long requests among
-short ones.
+Load pattern: a few callers send most of the work, or long requests compete
+with short ones.
 
-Without it (first come first served) two hot callers leave the small ones a
-sixth of their answers; with it these get all. The fleet's whole output goes
-to somebody: nothing is held back for a caller that does not ask.
+What goes wrong without it: first come, first served lets a hot caller
+starve the small ones. The order is work-conserving: no capacity is held back
+for an idle caller.
 
-Two parts here, and hard limits in `limits`:
+How:
 
 * `FairOrder` is start-time fair queueing [1]_ over tokens [2]_. A request's
   place is the virtual start ``max(V, finish of its caller)``; virtual time
-  V is the start of what was last dispatched, so an idle caller comes back
-  at V: it neither has to catch up nor has saved anything. Cost is prompt
-  tokens plus twice the output tokens, for a decode step holds its place
-  longer than a prefill token; output is expected as the model's mean and
-  corrected at the end.
-* `InFlight` tells who holds more than 1.5 times its share of what is in
-  flight. Such a caller may not take the last tenth of an endpoint's
-  places. This is trunk reservation [3]_: fair order alone acts only on
-  what waits, and under overload most is refused, so that long requests
-  slip in whenever the queue is empty for a moment and hold their places
-  for long. A larger part than a tenth would cost the hot callers more
-  tokens than it gives the small ones answers. Below a limit of 8 none is
-  kept.
+  V is the start tag of the last dispatch, so an idle caller earns neither
+  debt nor credit. Cost is prompt tokens plus twice the output tokens, since
+  a decode step holds its slot longer than a prefill token; output is
+  estimated by the model's mean and corrected at the end.
+* `InFlight` detects callers with more than their share of the work in
+  flight. They may not take an endpoint's last slots. This is trunk
+  reservation [3]_: fair order acts only on waiting requests, so long
+  requests would otherwise be admitted whenever the queue is empty.
 
   Known weakness: a few small calls a second beside hot callers with long
-  answers still lose a third of theirs.
+  answers are still refused in part.
 
-Memory: an account lives until virtual time passes it, or 3 s after its
-last use, which is longer than requests wait, and a bucket until it fills.
-Each arrival looks at two idle entries, so that the tables shrink faster
-than they grow. 44,000 callers at 1,000 a second leave under 4,000
-entries (test).
+Hard limits are in `limits`.
 
-Complexity: O(1) for each event, O(log n) for a place in the queue.
+Memory: an account is evicted once virtual time passes it, or when it is
+older than any request waits. Each arrival checks two accounts, so the table
+shrinks faster than it grows.
+
+Complexity: O(1) per event, O(log n) for a place in the queue.
 
 References
 ----------
@@ -62,10 +57,10 @@
 ORDERS = Registry("order of callers")
 
 _ACCOUNT_EXPIRY_MS = 3_000
-"""What a caller used longer ago than any request waits is forgiven."""
+"""Accounts unused for this long are evicted; longer than requests wait."""
 
 _SWEEP_CHECKS = 2
-"""Idle entries looked at for each new one; above 1 the table shrinks."""
+"""Accounts checked for eviction per request; above 1 the table shrinks."""
 
 
 @ORDERS.register("fcfs")
@@ -78,15 +73,15 @@
     def tag(
         self, now: int, caller: CallerId, cost: float, weight: float
     ) -> float:
-        """Return the place of one more request."""
+        """Return the tag by which a new request is ordered."""
         self._arrivals += 1
         return float(self._arrivals)
 
     def served(self, tag: float) -> None:
-        """Note that a request with `tag` was dispatched."""
+        """Record that a request with `tag` was dispatched."""
 
     def settle(self, caller: CallerId, cost: float, weight: float) -> None:
-        """Correct what a request cost, once that is known."""
+        """Correct the cost of a request once it is known."""
 
     def __len__(self) -> int:
         return 0
@@ -119,7 +114,7 @@
     def tag(
         self, now: int, caller: CallerId, cost: float, weight: float
     ) -> float:
-        """Return the virtual start of one more request."""
+        """Return the virtual start of a new request."""
         self._sweep(now)
         account = self._account_by_caller.pop(caller, None)
         if account is None:
@@ -131,11 +126,11 @@
         return start
 
     def served(self, tag: float) -> None:
-        """Advance virtual time to the start of what is dispatched."""
+        """Advance virtual time to the start tag of a dispatch."""
         self._virtual = max(self._virtual, tag)
 
     def settle(self, caller: CallerId, cost: float, weight: float) -> None:
-        """Add `cost` (negative: give back) to what the caller used."""
+        """Add `cost` to the caller's account; a negative cost is refunded."""
         account = self._account_by_caller.get(caller)
         if account is not None:
             account.finish += cost / weight
@@ -144,9 +139,8 @@
         return len(self._account_by_caller)
 
     def _sweep(self, now: int) -> None:
-        # The least recent come first. While nobody waits virtual time
-        # stands still, so that age must end an account as well, or one
-        # stays of each caller ever seen.
+        # Least recently used first. Virtual time stands still while no
+        # request waits, so accounts must expire by age as well.
         accounts = self._account_by_caller
         for _ in range(min(_SWEEP_CHECKS, len(accounts))):
             caller = next(iter(accounts))
@@ -165,7 +159,12 @@
 
 
 class InFlight:
-    """What the callers have in flight, to tell who is over its share.
+    """Work in flight by caller, to detect callers over their share.
+
+    Parameters
+    ----------
+    over : float
+        Multiple of its share above which a caller is over it.
 
     Examples
     --------
@@ -186,7 +185,7 @@
         self._weight = 0.0
 
     def add(self, caller: CallerId, cost: float, weight: float) -> None:
-        """Count one more in flight."""
+        """Add a request to the work in flight."""
         use = self._use_by_caller.get(caller)
         if use is None:
             use = self._use_by_caller[caller] = _Use(0.0, 0, weight)
@@ -196,7 +195,7 @@
         self._cost += cost
 
     def remove(self, caller: CallerId, cost: float) -> None:
-        """Count one less."""
+        """Remove a request from the work in flight."""
         use = self._use_by_caller[caller]
         use.cost -= cost
         use.count -= 1
@@ -208,7 +207,7 @@
             self._cost = self._weight = 0.0
 
     def is_over(self, caller: CallerId) -> bool:
-        """Tell whether it has much more than its share of all."""
+        """Tell whether `caller` is over its share of the work in flight."""
         use = self._use_by_caller.get(caller)
         if use is None:
             return False
--- a/dahliashunt/decisions/limits.py
+++ b/dahliashunt/decisions/limits.py
@@ -1,10 +1,10 @@
-"""Limits of the callers, and token buckets for the hard ones.
+"""Limits of callers, and token buckets for hard limits.
 
-A hard limit counts plain tokens, of prompt and answer alike.
+A hard limit counts tokens, of prompt and answer alike.
 
-Load pattern: a caller sends more than it has paid for, with others idle
-or not. `Buckets` says to the millisecond when a refused request would
-pass, so that its resend is not refused again.
+Load pattern: a caller sends more than its limit, whether others are idle or
+not. `Buckets` returns the time until a refused request would be admitted, so
+that its retry is not refused again.
 """
 
 from dataclasses import dataclass
@@ -16,16 +16,16 @@
 __all__ = ["Buckets", "LimitsTable"]
 
 _BLOCKED_RETRY_MS = 60_000
-"""When to ask again for a caller whose limit is 0."""
+"""Retry delay of a caller whose limit is 0."""
 
 _MIN_WEIGHT = 0.001
 
 _SWEEP_CHECKS = 2
-"""Idle entries looked at for each new one; above 1 the table shrinks."""
+"""Buckets checked for eviction per new one; above 1 the table shrinks."""
 
 
 class LimitsTable:
-    """Limits by caller; equal limits are one object.
+    """Limits by caller; equal limits share one object.
 
     Examples
     --------
@@ -41,9 +41,9 @@
         self._shared: dict[CallerLimits, CallerLimits] = {}
 
     def put(self, caller: CallerId, limits: CallerLimits | None) -> None:
-        """Set the limits of `caller`; None goes back to the default.
+        """Set the limits of `caller`; None restores the default.
 
-        A weight of 0 becomes the least one: shares are divided by it.
+        The weight is raised to a positive minimum, since it is a divisor.
         """
         if limits is None or limits == self._default:
             self._by_caller.pop(caller, None)
@@ -71,7 +71,7 @@
 
 
 class Buckets:
-    """Token buckets of the callers that have a hard limit.
+    """Token buckets of callers with a hard limit.
 
     Examples
     --------
@@ -91,10 +91,10 @@
     def take(
         self, now: int, caller: CallerId, cost: float, limits: CallerLimits
     ) -> int:
-        """Take `cost`; return 0, or the milliseconds until it is there.
+        """Take `cost` tokens; return 0, or the milliseconds to wait for them.
 
-        A request larger than the whole burst goes when the bucket is
-        full and leaves it in debt; else it could never go.
+        A request larger than the burst is admitted when the bucket is
+        full, and leaves it in debt; otherwise it could never run.
         """
         if limits.tokens_a_second is None:
             return 0
@@ -110,7 +110,7 @@
         return 0
 
     def give_back(self, caller: CallerId, cost: float) -> None:
-        """Return what was taken too much (negative: take the rest)."""
+        """Refund `cost` tokens; a negative cost takes more."""
         bucket = self._by_caller.get(caller)
         if bucket is not None:
             bucket.tokens += cost
@@ -131,7 +131,7 @@
         return bucket
 
     def _sweep(self, now: int) -> None:
-        # A full bucket is like one never seen, so it can go.
+        # A full bucket equals a new one and can be evicted.
         for _ in range(min(_SWEEP_CHECKS, len(self._by_caller))):
             caller = next(iter(self._by_caller))
             bucket = self._by_caller.pop(caller)
--- a/dahliashunt/decisions/meter.py
+++ b/dahliashunt/decisions/meter.py
@@ -1,16 +1,15 @@
-"""Counts requests of workspaces over all entries that report to it.
+"""Count requests of workspaces over all entries that report to a meter.
 
-Load pattern: many entries let in requests of one workspace at once, and
-refused callers come back all together. A meter grants the requests near the
-limit one after another, and gives refused ones turns after one another:
-without it every entry would let in the first one that comes back.
+Load pattern: many entries admit requests of one workspace at once, and
+refused callers retry together. A meter serializes the grants near the limit
+and staggers the retries; without it every entry would admit the first retry.
 
-Entries that a meter has not heard of late may be cut off, and then give away
-their shares: the others' limit is less by as much.
+Entries not heard from recently may be partitioned and admitting by their
+shares, so a meter subtracts these shares from the limit.
 
-A meter keeps nothing that must last. One that has restarted is told what
-came since, calls itself immature, and is not relied on while others of the
-same workspace are older.
+A meter has no durable state. After a restart it counts from the next reports
+on and reports itself immature; entries then prefer the workspace's other
+meters.
 """
 
 from dataclasses import dataclass
@@ -28,18 +27,18 @@
 __all__ = ["ENTRY_SILENT_MS", "EntryLiveness", "Meter"]
 
 ENTRY_SILENT_MS = 2_200
-"""An entry that was not heard for so long may be cut off: two renewals of
-its slots, which come every second."""
+"""An entry silent for this long may be partitioned: two slot renewals, which
+come every second, were missed."""
 
 ENTRY_EXPIRY_MS = 15_000
-"""An entry that was not heard for so long is gone: longer than cuts last."""
+"""An entry silent for this long is gone; longer than partitions last."""
 
 MATURE_MS = 5_000
-"""A window in which limits are judged: then a meter has seen all of it."""
+"""Age from which a meter has counted for a whole limit window."""
 
 
 class EntryLiveness:
-    """Which entries a process has heard, and when.
+    """Times at which a process last heard from each entry.
 
     Examples
     --------
@@ -57,11 +56,11 @@
         return len(self._ms_by_entry)
 
     def note(self, now_ms: int, entry) -> None:
-        """Note a sign of life of `entry`."""
+        """Record that `entry` is alive."""
         self._ms_by_entry[entry] = now_ms
 
     def share(self, now_ms: int) -> float:
-        """Return the share of the known entries that were heard of late."""
+        """Return the share of known entries that were heard from recently."""
         for entry, heard_ms in list(self._ms_by_entry.items()):
             if now_ms - heard_ms > ENTRY_EXPIRY_MS:
                 del self._ms_by_entry[entry]
@@ -91,12 +90,12 @@
 
 
 class Meter:
-    """Levels of workspaces, as entries report them.
+    """Usage levels of workspaces, as reported by entries.
 
     Attributes
     ----------
     heard : HeardEntries
-        To be told of all signs of life, not of reports alone.
+        Must be notified of all messages of entries, not only of reports.
 
     Notes
     -----
@@ -112,7 +111,7 @@
         return len(self._use_by_workspace)
 
     def report(self, now_ms: int, asker, report: Report) -> Reading:
-        """Count a report of `asker`; decide on the request it wants."""
+        """Count a report of `asker` and decide on the requests it wants."""
         self.heard.note(now_ms, asker)
         use = self._workspace_use(now_ms, report)
         counted = self._entry_count(now_ms, use, asker, report)
@@ -120,7 +119,7 @@
         if report.sequence > counted.sequence:
             granted = self._count(now_ms, use, counted, report)
         elif report.sequence == counted.sequence:
-            # A doubled report gets the answer once more.
+            # Repeat the answer to a duplicate report.
             granted = counted.granted
         after_ms = self._retry_after_ms(now_ms, use, report.wanted - granted)
         return Reading(
@@ -146,7 +145,7 @@
             use = _WorkspaceUse(now_ms, report.limit)
             self._use_by_workspace[report.workspace] = use
         elif report.limit.revision > use.limit.revision:
-            # What was let in so far was paid at the former rate.
+            # Drain at the former rate up to now.
             use.level.at(now_ms, self._reachable_limit(now_ms, use).rate)
             use.limit = report.limit
         use.heard_ms = now_ms
@@ -166,7 +165,7 @@
         return counted
 
     def _count(self, now_ms, use, counted, report):
-        """Count what came, and what of the wanted fits; return the latter."""
+        """Count admitted requests; return how many wanted ones are granted."""
         limit = self._reachable_limit(now_ms, use)
         use.level.add(now_ms, limit.rate, report.total - counted.total)
         free = limit.room - use.level.at(now_ms, limit.rate)
@@ -178,13 +177,13 @@
         return granted
 
     def _reachable_limit(self, now_ms, use):
-        """Return the limit without the shares of entries not heard."""
+        """Return the limit less the shares of silent entries."""
         share = self.heard.share(now_ms)
         limit = use.limit
         return RateLimit(limit.rate * share, max(1.0, limit.room * share))
 
     def _retry_after_ms(self, now_ms, use, refused):
-        """Return how long the first of `refused` waits behind others."""
+        """Return the retry delay of the first of `refused` requests."""
         if refused <= 0:
             return 0
         limit = self._reachable_limit(now_ms, use)
@@ -196,5 +195,5 @@
         return int(next_retry_ms) - now_ms
 
 
-def _newer(held, told):
-    return held if held.revision > told.revision else None
+def _newer(known, reported):
+    return known if known.revision > reported.revision else None
--- a/dahliashunt/decisions/meter_messages.py
+++ b/dahliashunt/decisions/meter_messages.py
@@ -1,4 +1,4 @@
-"""What entries and the meters of workspaces tell each other."""
+"""Messages between entries and the meters of workspaces."""
 
 from dataclasses import dataclass
 
@@ -9,23 +9,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """An entry tells how many requests of a workspace it let in.
+    """Report of an entry on the requests of a workspace that it admitted.
 
-    Lost and doubled reports do no harm: each says the whole count.
+    Counts are cumulative, so lost and duplicate reports do no harm.
 
     Attributes
     ----------
     workspace : int
     life : int
-        Of the entry's count; another one after a pause or a restart.
+        Identifies the entry's counter; it changes after a pause or restart.
     sequence : int
-        Grows with each report of one life.
+        Increases with each report of one life.
     total : int
-        Requests let in since the count's start.
+        Requests admitted since the counter's start.
     since : int
-        Of them this meter has counted so many, as far as the entry knows.
+        Part of `total` that the entry knows this meter has counted.
     wanted : int
-        Requests that are let in only if the meter agrees.
+        Requests that are admitted only if the meter grants them.
     limit : RateLimit
     """
 
@@ -40,26 +40,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """A meter's answer to a report.
+    """Reply of a meter to a report.
 
     Attributes
     ----------
     workspace, life, sequence : int
-        Of the report.
+        Copied from the report.
     counted : int
-        Requests of this entry that the level holds or held.
+        Requests of this entry that the meter has counted.
     level : float
-        See `Level`; of all entries together.
+        Level over all entries; see `Level`.
     mature : bool
         Whether this meter has counted for a whole window.
     granted : int
-        Wanted requests that are let in.
+        Wanted requests that are admitted.
     wait_ms : int
-        When the first one of the others would pass.
+        Time until the first wanted request not granted would be admitted.
     entries : int
-        How many entries the meter knows of.
+        Number of entries that the meter knows.
     newer : RateLimit or None
-        A limit of a newer revision than the report's.
+        The limit, if its revision is newer than the report's.
     """
 
     workspace: int
--- a/dahliashunt/decisions/metered.py
+++ b/dahliashunt/decisions/metered.py
@@ -1,19 +1,20 @@
-"""An entry's side of limits that a few meters count.
+"""Rate limits of an entry that are counted by replicated meters.
 
-Load pattern: see `rate_limits`. Requests far from the limit are let in
-freely and told to the workspace's meters afterwards, in batches; those near
-it are asked for one by one. A request waits for a round trip only there.
+Load pattern: see `rate_limits`. Far from the limit, requests are admitted
+locally and reported to the workspace's meters in batches. Near it, a meter
+is asked first, so only these requests wait for a round trip.
 
-What goes wrong without it: see `rate_limits` for shares. If all requests
-were asked for, each would wait, and a lost meter would hold up everybody.
+What goes wrong without it: see `rate_limits` for equal shares. If a meter
+were asked for every request, each would wait, and the loss of a meter would
+block all callers.
 
 Faults
 ------
-- An entry lets requests in freely only as long as more than half of the
-  workspace's meters answer it: any two such entries have a meter in common,
-  which knows of both. One that is cut off goes by its share (`EqualShare`).
-- A killed entry holds nothing that others need: what it let in is counted.
-- A killed meter leaves two, which have counted the same.
+- An entry admits locally only while a majority of the workspace's meters
+  answers it: the majorities of any two entries intersect in a meter that
+  knows both [1]_. A partitioned entry falls back to `EqualShare`.
+- A killed entry holds no credit; its admitted requests are already counted.
+- A killed meter leaves two that have counted the same requests.
 
 References
 ----------
@@ -43,36 +44,35 @@
 __all__ = ["METERS", "METER_TIMEOUT_MS", "REPORT_INTERVAL_MS", "Metered"]
 
 METERS = 3
-"""Meters of a workspace: one may be lost, and two that have counted all
-are left."""
+"""Meters per workspace; a majority remains after the loss of one."""
 
 UNCHECKED_SHARE = 0.5
-"""Share of the room up to which requests are let in without asking: the
-rest holds what other entries have let in and not yet told."""
+"""Share of the room up to which requests are admitted locally; the rest
+covers requests that other entries admitted and have not reported yet."""
 
 REPORT_INTERVAL_MS = 100
-"""Between reports of one workspace, far from its limit."""
+"""Interval between reports on one workspace, far from its limit."""
 
 METER_TIMEOUT_MS = 25
-"""A meter that has not answered for so long is left for the next: some ten
-round trips within a region."""
+"""Time to wait for a meter's answer before the next meter is asked; some
+ten round trips within a region."""
 
 METER_SILENT_MS = 100
-"""A meter is silent after so long: four asks."""
+"""A meter without an answer for this long counts as silent."""
 
 LEVEL_TOLERANCE = 1.0
-"""Requests by which levels of two meters differ at any moment."""
+"""Difference between two meters' levels, in requests, that is ignored."""
 
 PROBE_INTERVAL_MS = 400
-"""Between reports to meters most of which are silent: an entry that is cut
-off reports each of its workspaces in vain."""
+"""Report interval while most meters are silent; bounds the messages that a
+partitioned entry sends in vain."""
 
 LIFE_IDS = 2**31
 
 
 @dataclass(slots=True)
 class _MeterState:
-    """What a workspace's meter knows of this entry, and said."""
+    """State of one of a workspace's meters, from its readings."""
 
     host: str
     counted: int
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True)
 class _Question:
-    """Requests that one meter after another is asked for."""
+    """Pending requests and the meters still to be asked for them."""
 
     numbers: list[int]
     hosts: list[str]
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class _Use:
-    """Requests of one workspace at one entry."""
+    """Usage of one workspace at this entry."""
 
     workspace: int
     life: int
@@ -116,7 +116,7 @@
     queue: list[int] = field(default_factory=list)
 
     def level(self, now_ms):
-        """Return the level of all entries, as far as is known here."""
+        """Return the level over all entries, as known to this entry."""
         heard = [t for t in self.meter_by_host.values() if t.at_ms is not None]
         levels = [
             self._level_by(meter, now_ms)
@@ -130,9 +130,9 @@
         return max(0.0, meter.level - paid) + unreported
 
     def knows_more(self, now_ms, reading):
-        """Tell whether another meter has counted what this one has not.
+        """Tell whether another meter has counted more than this one.
 
-        One that has restarted knows nothing of what was before.
+        A restarted meter has lost the requests counted before.
         """
         if reading.mature:
             return False
@@ -144,22 +144,22 @@
         )
 
     def uncounted(self):
-        """Return requests that no meter is known to have counted."""
+        """Return how many requests no meter is known to have counted."""
         counted = [meter.counted for meter in self.meter_by_host.values()]
         return self.total - max(counted, default=0)
 
     def is_idle(self, now_ms):
-        """Tell whether nothing was asked for in a long while."""
+        """Tell whether the workspace has had no requests recently."""
         return self.question is None and now_ms - self.used_ms > IDLE_EXPIRY_MS
 
     def is_reported(self):
-        """Tell whether more than half of the meters know all."""
+        """Tell whether a majority of the meters has answered all reports."""
         meters = self.meter_by_host.values()
         open_ = sum(meter.unanswered_ms is not None for meter in meters)
         return self.total == self.reported_total and len(meters) > 2 * open_
 
     def is_metered(self, now_ms):
-        """Tell whether more than half of the meters answer."""
+        """Tell whether a majority of the meters answers."""
         meters = self.meter_by_host.values()
         silent = sum(meter.is_silent(now_ms) for meter in meters)
         return len(meters) > 2 * silent
@@ -167,21 +167,22 @@
 
 @CAPS.register("metered")
 class Metered:
-    """Lets in freely far from the limit, and asks a meter near it.
+    """Admit locally far from the limit, and ask a meter near it.
 
     Parameters
     ----------
     entries : callable
-        Returns how many entries there are, as far as is known.
+        Returns the known number of entries.
     meters_of : callable
-        Returns the hosts of a workspace's meters, most wanted first.
+        Returns the hosts of a workspace's meters, preferred first.
     rng : random.Random
-        Draws names of counts.
+        Draws the identifiers of counters.
 
     Attributes
     ----------
     most_entries : int
-        How many entries a meter has heard; shares go by it.
+        Largest number of entries that a meter has reported; a lower bound
+        for the number of shares.
     """
 
     def __init__(
@@ -205,7 +206,7 @@
         return max(self._entries(), self.most_entries)
 
     def take(self, now_ms: int, workspace: int, limit: RateLimit):
-        """Let one request in, refuse it, or ask for it."""
+        """Admit one request, refuse it, or ask a meter."""
         use = self._use(now_ms, workspace, limit)
         if not use.is_metered(now_ms):
             return self._take_from_share(now_ms, use)
@@ -218,10 +219,10 @@
         return Verdict.ADMITTED
 
     def _is_far_from_limit(self, now_ms, use):
-        """Tell whether one more request is far enough from the limit.
+        """Tell whether one more request may be admitted locally.
 
-        What the meters have not counted yet stays small, over all entries:
-        an entry that stood still has a backlog and knows old levels.
+        Bounds the uncounted requests over all entries: an entry that was
+        paused has a backlog and stale levels.
         """
         if use.question is not None:
             return False
@@ -232,7 +233,7 @@
         )
 
     def _take_from_share(self, now_ms, use):
-        """Go by the share; the meters are told, should they answer."""
+        """Decide by this entry's share, and report to the meters."""
         answer = self._share.take(now_ms, use.workspace, use.limit)
         if answer is Verdict.ADMITTED:
             use.total += 1
@@ -241,7 +242,7 @@
         return answer
 
     def give_back(self, now_ms: int, workspace: int, limit: RateLimit) -> None:
-        """Take back a request that did not run."""
+        """Refund a request that did not run."""
         self._share.give_back(now_ms, workspace, limit)
         use = self._use_by_workspace.get(workspace)
         if use is not None:
@@ -249,7 +250,7 @@
             self._unreported[workspace] = use
 
     def view(self, now_ms: int, workspace: int) -> UseView:
-        """Return a workspace's use; no request is counted by it."""
+        """Return a workspace's usage without counting a request."""
         use = self._use_by_workspace.get(workspace)
         if use is None or not use.is_metered(now_ms):
             return self._share.view(now_ms, workspace)
@@ -285,25 +286,23 @@
         hosts = self._meters_of(use.workspace)
         if tuple(use.meter_by_host) == hosts:
             return
-        # A new meter counts from here on; the others know what was before.
+        # A new meter counts only requests that follow.
         use.meter_by_host = {
             host: use.meter_by_host.get(host)
             or _MeterState(host, use.reported_total)
             for host in hosts
         }
 
-    # Messages.
-
     def outbox(self) -> list[tuple[str, Report]]:
-        """Return the reports to send, each with its meter's host."""
+        """Return and clear the reports to send, with their meters' hosts."""
         out, self._out = self._out, []
         return out
 
     def _report_to_all(self, now_ms, use):
-        """Report to all meters, unless it was done a moment ago.
+        """Report to all meters once per interval.
 
-        Not while a question is open: the meter that was asked may count
-        requests that are not in the total yet.
+        Skipped while a question is pending: the meter that was asked may
+        have counted requests that are not in the total yet.
         """
         gap_ms = (
             REPORT_INTERVAL_MS if use.is_metered(now_ms) else PROBE_INTERVAL_MS
@@ -348,7 +347,7 @@
         self._ask_next(now_ms, use)
 
     def _ask_next(self, now_ms, use):
-        """Ask the next meter; return whether there was one."""
+        """Ask the next meter; return False if none is left."""
         question = use.question
         while question.hosts:
             meter = use.meter_by_host.get(question.hosts.pop(0))
@@ -360,7 +359,7 @@
         return False
 
     def heard(self, now_ms: int, host: str, reading: Reading) -> list[Outcome]:
-        """Take over a meter's reading; return what it decides."""
+        """Store a meter's reading; return the outcomes it decides."""
         use = self._use_by_workspace.get(reading.workspace)
         if use is None or use.life != reading.life:
             return []
@@ -396,7 +395,7 @@
         return outcomes
 
     def _close_question(self, now_ms, use):
-        """Ask for what came while the question was open."""
+        """Close the question, and ask for requests queued meanwhile."""
         use.question = None
         del self._asking[use.workspace]
         self._unreported[use.workspace] = use
@@ -404,7 +403,7 @@
             self._ask_for_queue(now_ms, use)
 
     def tick(self, now_ms: int) -> list[Outcome]:
-        """Ask further meters, decide without them, and tell what is due."""
+        """Handle meter timeouts and send reports that are due."""
         outcomes = []
         for use in list(self._asking.values()):
             if now_ms - use.question.sent_ms < METER_TIMEOUT_MS:
@@ -419,7 +418,7 @@
         return outcomes
 
     def _give_up(self, now_ms, use):
-        """No meter has answered: the share decides."""
+        """Decide by the share, since no meter has answered."""
         outcomes = []
         for number in use.question.numbers:
             answer = self._share.take(now_ms, use.workspace, use.limit)
@@ -430,7 +429,7 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether `tick` is wanted."""
+        """Whether `tick` must be called."""
         return bool(self._asking or self._unreported)
 
 
@@ -439,5 +438,5 @@
 
 
 def _split(items: list, place: int) -> tuple[list, list]:
-    """Return the items before `place`, and those from it on."""
+    """Split `items` in two at index `place`."""
     return items[:place], items[place:]
--- a/dahliashunt/decisions/overload.py
+++ b/dahliashunt/decisions/overload.py
@@ -1,32 +1,25 @@
-"""How much one endpoint is given at a time.
+"""Adaptive limits of the requests in flight at one endpoint.
 
-Load pattern: more work than the engines can start. Engines admit what
-arrives, so that whatever is sent waits there, out of reach of fairness
-and of refusals.
+Load pattern: more work than the engines can start. Engines queue whatever
+arrives, where neither fair order nor early refusal applies to it.
 
-Without it (``none``) every first token is late at twice the capacity; with
-it goodput stays near the capacity at 2 and at 5 times of it.
+What goes wrong without it (``none``): under overload the engines' queues
+grow until every first token is late.
 
-Two bounds hold together:
+How: two bounds apply together.
 
 * The limit in flight follows first-token latency by additive increase and
-  multiplicative decrease [1]_. A window is 8 first tokens over at least
-  250 ms, so that one long prompt does not bring a limit down; it is late
-  when its 90th percentile is over the target. The target of a request is
-  twice what its prompt takes with no load and 230 ms: with a fixed time
-  long prompts bring every limit down. A part of the caller's own time was
-  ruled out: beside callers who give 5 s the engines' queues grow past what
-  others can wait. Less than 230 ms starves prefills, more makes answers
-  late when a data centre is lost. A window that is late takes 8% off; more
-  loses goodput. The limit grows only while it is used. It starts at 8 and
-  grows by half until the first late window, so that a cold start refuses
-  nearly nothing.
-* The prefills that are pending are bounded by their predicted time, 200 ms.
-  A burst finds all places free and fills them within milliseconds, long
-  before a first token could report it.
+  multiplicative decrease [1]_. A window holds several first tokens, so that
+  one long prompt does not lower the limit; it is late when its 90th
+  percentile exceeds the target. A request's target grows with the unloaded
+  time of its prompt, because a fixed target would count long prompts as
+  congestion. The limit grows only while it is used. It starts low and grows
+  exponentially until the first late window, as in TCP's slow start.
+* The predicted time of pending prefills is bounded, since a burst fills all
+  slots before the first token of any request can report congestion.
 
 ``gradient`` [2]_ follows the ratio to the unloaded latency. It needs no
-target, but it takes the first queued prefill for congestion.
+target, but counts the first queued prefill as congestion.
 
 References
 ----------
@@ -44,36 +37,37 @@
 LIMITS = Registry("concurrency limit")
 
 _IN_USE_SHARE = 0.9
-"""A limit is in use from here on: callers over their share get no more."""
+"""Share of a limit from which it counts as used; callers over their share
+are kept out of the rest."""
 
 
 @LIMITS.register("none")
 class NoLimit:
-    """Whatever comes is sent: the baseline."""
+    """Send every request at once: the baseline."""
 
     def __init__(self, policy: EntryPolicy):
         self.value = float(policy.limit_initial)
         self.base_ms = 0.0
 
     def has_room(self, in_flight: int) -> bool:
-        """Tell whether one more may be sent."""
+        """Tell whether one more request may be sent."""
         return True
 
     def in_time(self, pending_ms: float) -> bool:
-        """Tell whether what is pending leaves time for one more."""
+        """Tell whether the pending prefills leave time for one more."""
         return True
 
     def sample(
         self, now: int, first_token_ms: float, target_ms: float, in_flight: int
     ) -> None:
-        """Learn from one first token, wanted within `target_ms`."""
+        """Record the latency of one first token, due within `target_ms`."""
 
     def congested(self, now: int) -> None:
-        """Learn that the endpoint refused for load."""
+        """Record that the endpoint refused a request for load."""
 
 
 class _WindowedLimit(NoLimit):
-    """A limit that moves once a window of samples."""
+    """Base of limits that are adjusted once per window of samples."""
 
     def __init__(self, policy: EntryPolicy):
         super().__init__(policy)
@@ -85,17 +79,17 @@
         self._slow_start = True
 
     def has_room(self, in_flight: int) -> bool:
-        """Tell whether one more may be sent."""
+        """Tell whether one more request may be sent."""
         return in_flight + 1 <= self.value
 
     def in_time(self, pending_ms: float) -> bool:
-        """Tell whether what is pending leaves time for one more."""
+        """Tell whether the pending prefills leave time for one more."""
         return pending_ms <= self._policy.pending_target_ms
 
     def sample(
         self, now: int, first_token_ms: float, target_ms: float, in_flight: int
     ) -> None:
-        """Learn from one first token, wanted within `target_ms`."""
+        """Record the latency of one first token, due within `target_ms`."""
         if not self._samples:
             self._since_ms = now
         self._samples.append(self._measure(first_token_ms, target_ms))
@@ -108,7 +102,7 @@
             self._peak_in_flight = 0
 
     def congested(self, now: int) -> None:
-        """Go down once a window when the endpoint refused for load."""
+        """Decrease once per window when the endpoint refuses for load."""
         if now - self._since_ms >= self._policy.limit_window_ms:
             self._since_ms = now
             self._decrease(self._policy.limit_decrease)
@@ -130,7 +124,7 @@
 
 @LIMITS.register("aimd")
 class AimdLimit(_WindowedLimit):
-    """Up by one while first tokens are in time, down by a part if not."""
+    """Additive increase, multiplicative decrease on late first tokens."""
 
     def _adjust(self, samples: list[float], peak_in_flight: int) -> None:
         p90 = samples[int(0.9 * len(samples))]
@@ -143,7 +137,7 @@
 
 @LIMITS.register("gradient")
 class GradientLimit(_WindowedLimit):
-    """Follow the ratio of the unloaded to the measured latency."""
+    """Limit that follows the ratio of unloaded to measured latency."""
 
     def _measure(self, first_token_ms: float, target_ms: float) -> float:
         return first_token_ms
@@ -152,7 +146,7 @@
         median = max(1.0, samples[len(samples) // 2])
         if not self.base_ms or median < self.base_ms:
             self.base_ms = median
-        # The base drifts up slowly, for an endpoint that became slower.
+        # Let the base drift up, to adapt to an endpoint that slows down.
         self.base_ms *= 1.01
         gradient = max(0.5, min(1.0, 2.0 * self.base_ms / median))
         if gradient == 1.0 and peak_in_flight < self.value * _IN_USE_SHARE - 1:
--- a/dahliashunt/decisions/queueing.py
+++ b/dahliashunt/decisions/queueing.py
@@ -1,37 +1,29 @@
-"""What waits, in which order, and what is turned away when.
+"""Queueing disciplines: order and early refusal of waiting requests.
 
-Load pattern: saturation for longer than a burst, at 2 and 5 times the
+Load pattern: saturation for longer than a burst, at several times the
 capacity.
 
-Without it (``by_deadline``: wait until the time is over) many of those
-answered get their first token too late, and a refused caller is told after
-its whole time. With ``predicted`` most refusals are given on arrival.
-
-`Predicted` compares the time left with the wait for those ahead in the
-fair order, over the drain rate, plus the mean first-token time for a
-prompt of its size and twice its deviation (the margin of TCP's timer
-[1]_). One estimate for prompts of all sizes would refuse short requests
-among long ones that would have made it. The rate is what is in
-flight over the mean service time, by Little's law, so that it falls at
-once when endpoints are lost. What waits is judged again every 20 ms, a
-twentieth of the usual time to first token; what can't make it any more is
-told then.
-
-A queue that is never empty adds wait and no work [2]_. Once it stood for
-500 ms, several times what it takes to fill the places that a burst finds
-free, a newcomer may use only a quarter of its time for waiting, until
-none had to be turned away for 500 ms. Less than a quarter refuses short
-requests among long ones.
-
-Ruled out as defaults, both kept in the registry: ``newest_first``
-(adaptive LIFO [3]_) has the earlier first tokens at the same goodput, but it
-breaks the fair order and tells those it gives up only at their deadline.
-``codel`` (drop by age) has them too, but is blind to who waits. It is the
-choice where first tokens matter most.
-
-Complexity: O(log n) to find a place; O(n) a tick with n at most 256 a
-model. A longer queue could not be served in time at the sizes of today:
-256 are 4 s of five endpoints.
+What goes wrong without it (``by_deadline``): many answers have a late first
+token, and callers are refused only at their deadline. With ``predicted`` most
+refusals are sent on arrival.
+
+How: `Predicted` compares the time left with the predicted first token: the
+wait behind the requests ahead at the departure rate, plus the mean
+first-token time for the prompt's size and twice its deviation, as in TCP's
+retransmission timer [1]_. The departure rate is the number in flight over
+the mean service time (Little's law), so it falls as soon as endpoints are
+lost. Waiting requests are checked again at each tick.
+
+A standing queue adds latency and no throughput [2]_. Once the queue has not
+been empty for ``standing_ms``, a new request may spend only a part of its
+time waiting, until none has been refused for as long.
+
+Alternatives: ``newest_first`` (adaptive LIFO [3]_) gives earlier first
+tokens, but breaks the fair order and refuses only at the deadline. ``codel``
+drops by age, regardless of callers.
+
+Complexity: O(log n) to find a place; O(n) per tick, for the bounded queue of
+a model.
 
 References
 ----------
@@ -55,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Waiting:
-    """One waiting request; sorts by its place."""
+    """A waiting request; sorts by its tag."""
 
     tag: float
     seq: int
@@ -67,22 +59,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """How fast a queue moves.
+    """Estimated speed at which a queue drains.
 
     Attributes
     ----------
     per_ms : float
-        Requests that leave in a millisecond.
+        Departure rate: requests per millisecond.
     ms_per_token : float
-        From dispatch to the first token, with a margin, for one token of
-        the prompt.
+        Time from dispatch to first token per prompt token, with a margin.
     """
 
     per_ms: float
     ms_per_token: float
 
     def wait_ms(self, ahead: int) -> float:
-        """Return the expected wait with `ahead` requests before it.
+        """Return the expected wait in ms behind `ahead` requests.
 
         Examples
         --------
@@ -93,7 +84,7 @@
 
 
 class WaitingQueue:
-    """Waiting requests of one model, sorted by place."""
+    """Waiting requests of one model, sorted by tag."""
 
     def __init__(self):
         self._items: list[Waiting] = []
@@ -109,29 +100,29 @@
         return iter(self._items)
 
     def place(self, tag: float) -> int:
-        """Return how many go before a newcomer with `tag`."""
+        """Return how many requests are ahead of a new one with `tag`."""
         return bisect_left(self._items, tag, key=_tag)
 
     def push(self, waiting: Waiting) -> None:
-        """Add one in its place."""
+        """Insert `waiting` by its tag."""
         if not self._items:
             self._busy_since_ms = waiting.since_ms
         insort(self._items, waiting)
 
     def standing_ms(self, now: int) -> int:
-        """Return for how long it was not empty."""
+        """Return for how long the queue has not been empty."""
         return now - self._busy_since_ms if self._items else 0
 
     def pop(self, index: int) -> Waiting:
-        """Remove and return the one at `index`."""
+        """Remove and return the request at `index`."""
         return self._items.pop(index)
 
     def remove(self, waiting: Waiting) -> None:
-        """Remove one that is there."""
+        """Remove `waiting`, which must be in the queue."""
         del self._items[bisect_left(self._items, waiting)]
 
     def drop(self, rejected: list[Waiting]) -> None:
-        """Remove several."""
+        """Remove the given requests."""
         if rejected:
             ids = {waiting.request_id for waiting in rejected}
             self._items = [w for w in self._items if w.request_id not in ids]
@@ -143,7 +134,7 @@
 
 @DISCIPLINES.register("by_deadline")
 class ByDeadline:
-    """Wait until the time is over: the baseline."""
+    """Wait until the deadline: the baseline."""
 
     def __init__(self, policy: EntryPolicy):
         self._policy = policy
@@ -157,27 +148,26 @@
         prompt_tokens: int,
         drain: Drain,
     ) -> bool:
-        """Tell whether a newcomer with `ahead` before it may wait."""
+        """Tell whether a new request behind `ahead` others may wait."""
         return True
 
     def next_index(self, queue: WaitingQueue) -> int:
-        """Return which one goes next."""
+        """Return the index of the request to dispatch next."""
         return 0
 
     def hopeless(
         self, now: int, queue: WaitingQueue, drain: Drain
     ) -> list[Waiting]:
-        """Return those to be turned away now."""
+        """Return the requests to refuse now."""
         return [w for w in queue if w.first_token_by_ms <= now]
 
 
 @DISCIPLINES.register("predicted")
 class Predicted(ByDeadline):
-    """Turn away as soon as the predicted first token comes too late.
+    """Refuse as soon as the predicted first token is late.
 
-    A queue that stood for longer than a burst adds wait and no work, so
-    from then on only a part of the time may be spent in it, until
-    nothing had to be turned away for as long.
+    While the queue is standing, a new request may spend only a part of its
+    time waiting.
     """
 
     def __init__(self, policy: EntryPolicy):
@@ -193,7 +183,7 @@
         prompt_tokens: int,
         drain: Drain,
     ) -> bool:
-        """Tell whether a newcomer with `ahead` before it may wait."""
+        """Tell whether a new request behind `ahead` others may wait."""
         policy = self._policy
         wait = drain.wait_ms(ahead)
         if wait + prompt_tokens * drain.ms_per_token > left_ms:
@@ -209,9 +199,9 @@
     def hopeless(
         self, now: int, queue: WaitingQueue, drain: Drain
     ) -> list[Waiting]:
-        """Return those whose predicted first token is too late.
+        """Return the requests whose predicted first token is late.
 
-        One that is dropped lets those behind it move up.
+        A refused request does not delay those behind it.
         """
         rejected = []
         step = 1 / drain.per_ms
@@ -227,14 +217,14 @@
 
 @DISCIPLINES.register("newest_first")
 class NewestFirst(ByDeadline):
-    """Serve the newest while the oldest waits too long (adaptive LIFO)."""
+    """Serve newest first while the oldest waits too long (adaptive LIFO)."""
 
     def __init__(self, policy: EntryPolicy):
         super().__init__(policy)
         self._overloaded = False
 
     def next_index(self, queue: WaitingQueue) -> int:
-        """Return the newest of all under overload, else the first."""
+        """Return the index of the newest under overload, else the first."""
         if not self._overloaded:
             return 0
         return max(range(len(queue)), key=lambda i: queue[i].seq)
@@ -242,7 +232,7 @@
     def hopeless(
         self, now: int, queue: WaitingQueue, drain: Drain
     ) -> list[Waiting]:
-        """Return those whose time is over."""
+        """Return the requests past their deadline."""
         oldest = min((w.since_ms for w in queue), default=now)
         self._overloaded = now - oldest > self._policy.codel_target_ms
         return super().hopeless(now, queue, drain)
@@ -250,7 +240,7 @@
 
 @DISCIPLINES.register("codel")
 class ControlledDelay(ByDeadline):
-    """Drop by age once the least wait stays above a target (CoDel)."""
+    """Drop by age once the shortest wait stays above a target (CoDel)."""
 
     def __init__(self, policy: EntryPolicy):
         super().__init__(policy)
@@ -259,7 +249,7 @@
     def hopeless(
         self, now: int, queue: WaitingQueue, drain: Drain
     ) -> list[Waiting]:
-        """Return those older than the target after a standing queue."""
+        """Return the requests older than a bound, tighter while standing."""
         interval_ms = self._policy.standing_ms
         newest_wait = min((now - w.since_ms for w in queue), default=0)
         if not len(queue) or newest_wait > interval_ms:
--- a/dahliashunt/decisions/rate_limits.py
+++ b/dahliashunt/decisions/rate_limits.py
@@ -1,23 +1,23 @@
-"""Rate limits of workspaces that bind all entries together.
+"""Rate limits of workspaces, enforced across all entries.
 
 Load pattern
 ------------
-A workspace has a rate and a burst, and its requests come to any of many
-entries, unevenly: a caller keeps its connection to one entry. Now and then
-a workspace sends several times what it may.
+A workspace has a rate and a burst. Its requests reach many entries,
+unevenly, because a caller keeps its connection to one entry. Occasionally a
+workspace sends several times its limit.
 
 What goes wrong without it
 --------------------------
-Counted by each entry alone against the whole limit, a workspace gets its
-limit once for every entry. Counted against an equal share, it is refused
-most of what it may send, since its callers hang on few entries.
+If each entry enforces the whole limit, a workspace gets its limit once per
+entry. If each enforces an equal share, a workspace whose callers use few
+entries is refused most of what it may send.
 
 Policies
 --------
-`CAPS` holds them by name, all with the methods of `EqualShare`. A take is
-answered at once (`ADMITTED`, or a `Refused` with the time to come back), or
-by an `Asked`, whose outcome comes from `heard` or `tick`. Messages to meters
-are collected by `outbox`.
+`CAPS` registers them by name; all have the methods of `EqualShare`. `take`
+returns `Verdict.ADMITTED`, a `Refused` with the time to retry, or an `Asked`,
+whose outcome is returned later by `heard` or `tick`. `outbox` returns the
+messages to send to meters.
 """
 
 from dataclasses import dataclass
@@ -45,17 +45,17 @@
 CAPS = Registry("cap policy")
 
 IDLE_EXPIRY_MS = 10_000
-"""A workspace without requests for so long is forgotten."""
+"""State of a workspace without requests is evicted after this time."""
 
 EVICTION_CHECKS = 2
-"""Old members looked at for each new one; above 1 a table shrinks."""
+"""Members checked for eviction per insertion; above 1 a table shrinks."""
 
 MAX_RETRY_AFTER_MS = 5_000
-"""Longest Retry-After: further ahead nobody knows what will be sent."""
+"""Longest Retry-After; load further ahead is not predictable."""
 
 
 class Verdict(enum.Enum):
-    """What becomes of a request."""
+    """Decision on a request."""
 
     ADMITTED = "admitted"
 
@@ -67,7 +67,7 @@
     Attributes
     ----------
     after_ms : int
-        When the next request would pass.
+        Time until the next request would be admitted.
     """
 
     after_ms: int
@@ -75,14 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Asked:
-    """The outcome comes later, under this number."""
+    """A decision that is pending; its `Outcome` has the same number."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of an `Asked`."""
+    """The decision on an `Asked`."""
 
     number: int
     verdict: Verdict | Refused
@@ -90,16 +90,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """What a workspace may send.
+    """Rate limit of a workspace.
 
     Attributes
     ----------
     rate : float
         Requests a second; above 0.
     room : float
-        Requests that may come at once; 1 at the least.
+        Bucket size: requests that may come at once; at least 1.
     revision : int
-        Of the configuration that says so.
+        Revision of the configuration that sets the limit.
     """
 
     rate: float
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MeterView:
-    """What an entry knows of one meter; see `Reading`."""
+    """State of one meter as known to an entry; see `Reading`."""
 
     host: str
     level: float
@@ -120,16 +120,16 @@
 
 @dataclass(frozen=True, slots=True)
 class UseView:
-    """A workspace's use as one entry sees it.
+    """Usage of a workspace as one entry sees it.
 
     Attributes
     ----------
     level : float
-        Of all entries where it is metered, else of this one.
+        Level over all entries if `metered`, else of this entry alone.
     metered : bool
-        Whether meters decide; else this entry's share does.
+        Whether meters decide; otherwise this entry's share does.
     entries : int
-        Among which the limit is shared where it is not metered.
+        Number of entries that share the limit when it is not metered.
     meters : tuple of MeterView
     """
 
@@ -140,7 +140,7 @@
 
 
 class Level:
-    """Requests that were let in, less what the rate has paid since.
+    """Leaky bucket: admitted requests that drain at the rate.
 
     Examples
     --------
@@ -158,31 +158,31 @@
         self._at_ms = 0
 
     def at(self, now_ms: int, rate: float) -> float:
-        """Return the level now; never below 0."""
+        """Return the level at `now_ms`; at least 0."""
         paid = (now_ms - self._at_ms) * rate / 1000
         self._value = max(0.0, self._value - max(0.0, paid))
         self._at_ms = max(self._at_ms, now_ms)
         return self._value
 
     def add(self, now_ms: int, rate: float, count: float = 1.0) -> None:
-        """Let in `count` more; negative ones take back."""
+        """Add `count` requests; a negative count removes them."""
         self._value = max(0.0, self.at(now_ms, rate) + count)
 
     def lower_to(self, most: float) -> None:
-        """Forget what is above `most`."""
+        """Cap the level at `most`."""
         self._value = min(self._value, most)
 
 
 def wait_ms(missing: float, rate: float) -> int:
-    """Return how long the rate takes to pay for `missing` requests."""
+    """Return how long the rate takes to drain `missing` requests."""
     return min(MAX_RETRY_AFTER_MS, max(1, -int(-1000 * missing // rate)))
 
 
 def evict_old(table: dict, is_old) -> None:
-    """Look at two members and drop those that are old.
+    """Check a few members of `table` and evict those that are old.
 
-    To be called for each new member: the table then shrinks to those that
-    are in use, whatever their order.
+    Call it before each insertion; the table then shrinks to the members in
+    use, whatever their order.
 
     Examples
     --------
@@ -206,17 +206,17 @@
 
 @CAPS.register("equal-share")
 class EqualShare:
-    """Each entry gives away its share, asks nobody and tells nobody.
+    """Each entry enforces an equal share of the limit without messages.
 
-    The baseline, and what is left to an entry that reaches no meters: the
-    shares of all entries together are the limit, whoever is cut off.
+    The baseline, and the fallback of an entry that reaches no meters: the
+    shares of all entries add up to the limit under any network partition.
 
     Parameters
     ----------
     entries : callable
-        Returns how many entries there are, as far as is known.
+        Returns the known number of entries.
     meters_of, rng : object, optional
-        Not used; all policies are made alike.
+        Ignored; part of the constructor that all policies share.
     """
 
     def __init__(self, entries, meters_of=None, rng=None):
@@ -224,7 +224,7 @@
         self._share_by_workspace: dict[int, _Share] = {}
 
     def take(self, now_ms: int, workspace: int, limit: RateLimit):
-        """Let one request in, or say when it would pass."""
+        """Admit one request, or return when it would be admitted."""
         share = self._share(now_ms, workspace)
         rate, room = self._entry_limit(limit)
         missing = share.level.at(now_ms, rate) + 1 - room
@@ -234,20 +234,20 @@
         return Verdict.ADMITTED
 
     def note(self, now_ms: int, workspace: int, limit: RateLimit) -> None:
-        """Count a request that was let in by other means."""
+        """Count a request that was admitted elsewhere."""
         rate, room = self._entry_limit(limit)
         level = self._share(now_ms, workspace).level
         level.add(now_ms, rate)
         level.lower_to(room)
 
     def give_back(self, now_ms, workspace, limit) -> None:
-        """Take back a request that did not run."""
+        """Refund a request that did not run."""
         share = self._share_by_workspace.get(workspace)
         if share is not None:
             share.level.add(now_ms, self._entry_limit(limit)[0], -1)
 
     def view(self, now_ms: int, workspace: int) -> UseView:
-        """Return a workspace's use; no request is counted by it."""
+        """Return a workspace's usage without counting a request."""
         share = self._share_by_workspace.get(workspace)
         level = share.level.at(now_ms, 0) if share is not None else 0.0
         return UseView(level, False, max(1, self._entries()))
@@ -269,18 +269,18 @@
         return share
 
     def outbox(self) -> list:
-        """Return nothing: this policy sends no messages."""
+        """Return an empty list; this policy sends no messages."""
         return []
 
     def heard(self, now_ms, host, reading) -> list[Outcome]:
-        """Return nothing: this policy asks nothing."""
+        """Return an empty list; this policy has no pending decisions."""
         return []
 
     def tick(self, now_ms) -> list[Outcome]:
-        """Return nothing: this policy waits for nothing."""
+        """Return an empty list; this policy has no pending decisions."""
         return []
 
     @property
     def is_waiting(self) -> bool:
-        """Whether `tick` is wanted."""
+        """Whether `tick` must be called."""
         return False
--- a/dahliashunt/decisions/registry.py
+++ b/dahliashunt/decisions/registry.py
@@ -1,4 +1,4 @@
-"""Registries of policies, filled by a decorator."""
+"""Registries of policies, with registration by decorator."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -9,16 +9,16 @@
 
 
 class UnknownPolicy(DahliashuntError):
-    """No policy has that name."""
+    """No policy is registered under the given name."""
 
 
 class Registry:
-    """Callables by name.
+    """Callables registered by name.
 
     Parameters
     ----------
     what : str
-        What is registered, for error texts.
+        Noun for the members, used in error messages.
 
     Examples
     --------
@@ -35,11 +35,13 @@
         self._by_name: dict[str, Callable] = {}
 
     def register(self, name: str) -> Callable:
-        """Return a decorator that registers under `name`."""
+        """Return a decorator that registers its argument as `name`."""
 
         def decorate(member):
             if name in self._by_name:
-                raise ValueError(f"{self._kind} {name!r} exists already")
+                raise ValueError(
+                    f"{self._kind} {name!r} is already registered"
+                )
             self._by_name[name] = member
             return member
 
@@ -51,7 +53,7 @@
         Raises
         ------
         UnknownPolicy
-            Nothing has that name; the text lists those that exist.
+            No member has that name; the message lists the registered names.
         """
         try:
             return self._by_name[name]
--- a/dahliashunt/decisions/tail.py
+++ b/dahliashunt/decisions/tail.py
@@ -1,30 +1,23 @@
-"""How long a step may be: bounds that follow the observed tail.
-
-Load pattern: the targets are percentiles of what callers see, and what
-they see is the decode step plus the stalls by prompts, whose share differs
-by load and mix. A fixed margin is too wide for one mix and too narrow for
-the next: at 0.9 of the target the 95th percentile of the gaps is 67.7 ms
-at 10% online load and 88.9 ms at 50%, where 69 are promised; it is 66.6
-and 68.6 ms here.
-
-Two values are tracked, from one gap a step:
-
-- by stochastic approximation, the tail that online work alone would have
-  (its 95th percentile), which is what a policy with `tail_growth` measures
-  harm against;
-- the stalls by online prompts, of which the last steps are kept: the
-  predicted step stays below the target by all but the largest of them.
-
-A target at the 95th percentile leaves 5 gaps in 100 that may exceed it,
-less those that online work causes. They are kept as a credit, which whole
-groups of batch prompts use up: one step that is long for five prompts
-costs the percentile no more than one that is long for one.
-
-Thresholds: the target is spent to 3.5 gaps in 100 and not 5, since steps
-count here alike, and callers see more of those in which many run. The
-credit is held between -1 and 2: a burst's debt would otherwise keep batch
-prompts out for half a minute after it, and an hour's savings would be
-spent in one stall after another.
+"""Bounds of the step time that follow the observed tail latency.
+
+Load pattern: the targets are percentiles of the gaps between tokens, which
+are decode steps plus stalls by prefills. The share of stalls varies with load
+and mix.
+
+What goes wrong without it: a fixed margin below the target is too wide for
+one mix and too narrow for another.
+
+How: two values are tracked, from one gap per step:
+
+- the 95th percentile that online work alone would have, by stochastic
+  approximation; a policy with `tail_growth` bounds the target by it;
+- the recent stalls by online prompts; the bound is the target less a high
+  quantile of them.
+
+A target at the 95th percentile allows a few gaps to exceed it. Those that
+online work does not cause accumulate as a credit, and one long step for a
+whole group of batch prompts costs one unit. The credit is bounded on both
+sides, to limit the effect of bursts and of idle time.
 
 References
 ----------
@@ -42,18 +35,17 @@
 
 __all__ = ["TailBound"]
 
-_TAIL_SHARE = 0.05
-# One gap above moves the tail by a hundredth: it settles within some
-# hundred steps and then varies by about as much.
+_TAIL_SHARE = 0.05  # share of gaps above the 95th percentile
+# Step size of the estimate, relative to its value; the larger, the noisier.
 _TAIL_GAIN = 0.01
 _SHARE_GAIN = 0.002
 _MAX_CREDIT = 2.0
-# A burst's debt would keep batch prompts out for long after it.
+# Bounds the time that batch prompts are kept out after a burst.
 _MIN_CREDIT = -1.0
 
 
 class TailBound:
-    """Tracks the bound of the step from one gap a step."""
+    """Track the bound of the step time from one gap per step."""
 
     def __init__(self, policy: AgentPolicy, model: StepModel):
         self._policy = policy
@@ -68,7 +60,7 @@
 
     @property
     def target_ms(self) -> float:
-        """The gap that 95 of 100 tokens may have beside batch."""
+        """Target of the 95th percentile of gaps beside batch, in ms."""
         target = self._policy.token_gap_target_ms
         growth = self._policy.tail_growth
         if growth is None or not self._online_tail_ms:
@@ -77,13 +69,13 @@
 
     @property
     def bound_ms(self) -> float:
-        """The longest predicted step beside online work."""
+        """Longest predicted step beside online work, in ms."""
         margin = self._policy.step_margin
         return max(0.0, self.target_ms * margin - self._stall_allowance())
 
     @property
     def allowed(self) -> float:
-        """The part of the gaps that batch may push over the target."""
+        """Share of the gaps that batch may push over the target."""
         policy = self._policy
         left = policy.over_share - self._online_over_share
         return max(policy.least_over_share, left)
@@ -93,12 +85,12 @@
         return self._credit >= 1
 
     def exceeds(self) -> None:
-        """Note that a step will exceed the target for batch prompts."""
+        """Pay for a step that will exceed the target for batch prompts."""
         self._credit -= 1
         self._prepaid = True
 
     def step(self, gap_ms: float, occupancy: Occupancy) -> None:
-        """Learn from the gap between two tokens of one stream."""
+        """Update the bound from the gap between two tokens of one stream."""
         stalled = occupancy.prefill_batch > 0
         if occupancy.online:
             self._update(gap_ms, occupancy, stalled or self._stalled)
@@ -121,7 +113,7 @@
             caused = self._prepaid = False
         credit = self._credit + self.allowed - caused
         self._credit = max(_MIN_CREDIT, min(_MAX_CREDIT, credit))
-        # What exceeds the target without batch, batch can't prevent.
+        # Gaps over the target without batch don't count as stalls.
         stall = 0.0 if over or stalled else max(0.0, gap_ms - step)
         self._keep_stall(stall)
 
@@ -134,10 +126,7 @@
             del self._sorted_stalls[bisect_left(self._sorted_stalls, oldest)]
 
     def _stall_allowance(self) -> float:
-        """Return the stall by online prompts that few steps exceed.
-
-        Half of what is allowed is for them, half for prompts of batch.
-        """
+        """Return the quantile of online stalls to leave room for."""
         stalls = self._sorted_stalls
         if not stalls:
             return 0.0
