--- a/dahliashunt/decisions/tests/cap_play.py
+++ b/dahliashunt/decisions/tests/cap_play.py
@@ -1,8 +1,8 @@
-"""Entries, meters and a network that loses things, on a virtual clock.
+"""Simulated entries, meters and a lossy network on a virtual clock.
 
-`CapPlay` plays requests of workspaces through the policies of `CAPS` and
-notes which were let in. `overruns` holds these against the bound that the
-limit allows in each window, and `lost` against one exact count.
+`CapPlay` sends requests of workspaces through the policies of `CAPS` and
+records which were admitted. `overruns` compares these with the bound of the
+limit in each window, and `lost` with one exact bucket.
 """
 
 import bisect
@@ -30,15 +30,15 @@
 HEARTBEAT_MS = 1_000
 
 HOP_MS = (1, 3)
-"""One way between two machines of a region, with both sides' work."""
+"""Range of the one-way delay within a region, processing included."""
 
 REPORT_BYTES = 64
-"""A report or a reading with its datagram's headers, as encoded."""
+"""Encoded size of a report or reading with the datagram's headers."""
 
 
 @dataclass
 class Request:
-    """One request and what became of it."""
+    """A request and the decision on it."""
 
     at_ms: int
     workspace: int
@@ -55,18 +55,18 @@
 
 
 class CapPlay:
-    """A fleet of entries and meters.
+    """Simulation of a fleet of entries and meters.
 
     Parameters
     ----------
     policy : str
-        Of `CAPS`.
+        Name in `CAPS`.
     entries, meters : int
     limit : RateLimit
-        Of every workspace.
+        Limit of every workspace.
     seed : int
     known_entries : int, optional
-        What entries know of their number from elsewhere.
+        Number of entries that the entries assume; default `entries`.
     """
 
     def __init__(
@@ -103,22 +103,20 @@
         )
         return tuple(ranked[:METERS])
 
-    # What may happen.
-
     def at(self, at_ms, action):
-        """Do `action` at a time."""
+        """Schedule `action` at `at_ms`."""
         heapq.heappush(self._events, (at_ms, next(self._order), action))
 
     def kill_entry(self, number):
-        """Lose an entry; a new one comes in its place at once."""
+        """Replace an entry by a new one that has no state."""
         self.entries[number] = self._start(number)
 
     def kill_meter(self, host):
-        """Lose a meter; a new one comes in its place at once."""
+        """Replace a meter by a new one that has no state."""
         self.meters[host] = Meter()
 
     def freeze(self, number, for_ms):
-        """Stop an entry; what comes meanwhile is done when it wakes."""
+        """Pause an entry; input is deferred until it resumes."""
         self.entries[number].frozen_until_ms = self.now_ms + for_ms
         self.at(self.now_ms + for_ms, lambda: self._wake(number))
 
@@ -129,7 +127,7 @@
             action()
 
     def _send_heartbeat(self, number):
-        """Let an entry renew its slots, a sign of life for all meters."""
+        """Renew an entry's slots, which tells all meters that it is alive."""
         self.at(
             self.now_ms + HEARTBEAT_MS, lambda: self._send_heartbeat(number)
         )
@@ -139,10 +137,8 @@
             if not self.cut(number, host):
                 self.meters[host].heard.note(self.now_ms, number)
 
-    # Requests and messages.
-
     def send(self, at_ms, number, workspace):
-        """Let a caller send a request to an entry."""
+        """Schedule a request of a workspace to entry `number`."""
         request = Request(at_ms, workspace)
         self.requests.append(request)
         self.at(at_ms, lambda: self._arrive(number, request))
@@ -220,14 +216,14 @@
         self._flush(number)
 
     def run(self, until_ms):
-        """Play up to a time."""
+        """Run all events up to `until_ms`."""
         while self._events and self._events[0][0] <= until_ms:
             self.now_ms, _, action = heapq.heappop(self._events)
             action()
         self.now_ms = until_ms
 
     def admitted(self, workspace):
-        """Return when requests of a workspace were let in, in order."""
+        """Return the sorted times at which a workspace's requests passed."""
         return sorted(
             r.decided_ms
             for r in self.requests
@@ -246,7 +242,7 @@
 
 
 def overruns(sim, workspace, limit, burst):
-    """Return the most by which a window is above what is allowed."""
+    """Return the largest excess of a window over the allowed requests."""
     times = sim.admitted(workspace)
     allowed = (limit.rate * WINDOW_MS / 1000 + burst) * (
         1 + OVERRUN_SHARE
@@ -259,7 +255,7 @@
 
 
 def lost(sim, workspace, rate, burst):
-    """Return how many requests one exact count would have let in besides."""
+    """Return how many more requests one exact bucket would have admitted."""
     exact, owed = Level(), 0
     for request in sorted(sim.requests, key=lambda r: r.at_ms):
         if request.workspace != workspace:
--- a/dahliashunt/decisions/tests/conftest.py
+++ b/dahliashunt/decisions/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the entry's decisions."""
+"""Fixtures for tests of the entry's decisions."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def make_request():
-    """Return a maker of requests named r1, r2..."""
+    """Return a factory of requests named r1, r2..."""
     count = 0
 
     def make(**fields):
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def make_entry():
-    """Return a maker of an entry in data centre a."""
+    """Return a factory of entries in data centre a."""
 
     def make(endpoints=("a1", "a2", "b1"), **settings):
         policy = EntryPolicy(**({"default_service_ms": 400} | settings))
--- a/dahliashunt/decisions/tests/play.py
+++ b/dahliashunt/decisions/tests/play.py
@@ -1,9 +1,8 @@
-"""A small fleet on virtual time, to play load against the entry.
+"""Simulation of a small fleet on virtual time, to test an entry under load.
 
-An engine here runs at most `slots` streams; a prefill is serial, a decode
-step slows with what runs, and more than that waits in the engine, as it
-comes. That is the part of an engine which the entry's decisions meet; it
-is no cluster simulator.
+An engine runs at most `slots` streams and queues the others in order of
+arrival. Prefills are serial, and a decode step slows with the number of
+running streams.
 """
 
 from collections import Counter
@@ -33,7 +32,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """What a client sends, and what became of it."""
+    """A client's call and its result."""
 
     caller: str
     at: int
@@ -53,13 +52,13 @@
 
     @property
     def good(self) -> bool:
-        """Whether it ended, with its first token in time."""
+        """Whether it completed with its first token in time."""
         return self.done_ms is not None and self.first_ms <= self.budget_ms
 
 
 @dataclass(slots=True, eq=False)
 class Stream:
-    """One attempt in an engine."""
+    """An attempt in an engine."""
 
     request_id: str
     call: Call
@@ -69,7 +68,7 @@
 
 
 class Engine:
-    """One endpoint with its agent: FIFO, except that `alone` is kept."""
+    """An endpoint with its agent: FIFO, and `alone` streams run alone."""
 
     def __init__(self, sim, endpoint_id, data_centre, slots=32, slow=1.0):
         self.sim = sim
@@ -179,7 +178,7 @@
         self._admit()
 
     def crash(self, end=AttemptEnd.CRASHED, restart_ms=5_000):
-        """Lose all streams; come back after `restart_ms`."""
+        """Lose all streams; restart after `restart_ms`."""
         lost = list(self.running.values())
         not_run = list(self.waiting)
         self.sim.crashes += end is AttemptEnd.CRASHED
@@ -232,7 +231,7 @@
 
 
 class Play:
-    """Clients, entries and engines on one virtual clock."""
+    """Simulation of clients, entries and engines on one virtual clock."""
 
     def __init__(
         self,
@@ -396,27 +395,27 @@
 
 
 def fingerprint(call):
-    """Return what is equal for resends of one call."""
+    """Return a fingerprint that is equal for all resends of a call."""
     return call.body or f"f{id(call)}"
 
 
 def no_resend(call, decision):
-    """Take the first answer as the last."""
+    """Never retry."""
     return None
 
 
 def obedient(call, decision):
-    """Come back when told, up to five times."""
+    """Retry after the given delay, up to five times."""
     return decision.retry_after_ms if call.sends < 6 else None
 
 
 def impatient(call, decision):
-    """Come back after 50 ms, whatever was said."""
+    """Retry after 50 ms, whatever Retry-After says."""
     return 50 if call.sends < 20 else None
 
 
 def poisson(rng, rate, start, stop, make):
-    """Return calls at random times, `rate` a second."""
+    """Return calls of a Poisson process with `rate` calls a second."""
     calls = []
     at = start + rng.expovariate(rate) * 1000
     while at < stop:
@@ -426,18 +425,18 @@
 
 
 def goodput(calls, start, stop):
-    """Return good answers a second of those that came in the window."""
+    """Return good answers a second to calls sent in the window."""
     good = sum(1 for c in calls if start <= c.at < stop and c.good)
     return good * 1000 / (stop - start)
 
 
 def late_share(calls, start, stop):
-    """Return the part of the answered whose first token was late."""
+    """Return the share of completed calls with a late first token."""
     done = [c for c in calls if start <= c.at < stop and c.done_ms]
     return sum(1 for c in done if not c.good) / max(1, len(done))
 
 
 def quantile(values, q):
-    """Return a quantile of `values`, 0 if there are none."""
+    """Return the `q` quantile of `values`, or 0 if there are none."""
     ranked = sorted(values) or [0]
     return ranked[min(len(ranked) - 1, int(q * len(ranked)))]
--- a/dahliashunt/decisions/tests/plays.py
+++ b/dahliashunt/decisions/tests/plays.py
@@ -1,7 +1,7 @@
-"""Patterns of load, played on the small fleet.
+"""Load scenarios for the simulated fleet.
 
-Five engines give about 61 requests a second of the usual call: 400 prompt
-tokens, 100 answer tokens on average, first token within a second.
+Five engines serve about 61 typical calls a second: 400 prompt tokens, 100
+answer tokens on average, first token within a second.
 """
 
 from collections import Counter
@@ -20,7 +20,7 @@
 
 
 def typical_call(rng, callers=50, **fields):
-    """Return a maker of the usual call."""
+    """Return a factory of typical calls."""
 
     def make(at):
         output = max(1, int(rng.expovariate(1 / 100)))
@@ -31,7 +31,7 @@
 
 
 def first_tokens(calls, start, stop):
-    """Return times to first token of the calls that came in the window."""
+    """Return the times to first token of calls sent in the window."""
     return [
         c.first_ms
         for c in calls
@@ -40,7 +40,7 @@
 
 
 def saturation(policy: EntryPolicy, times: float, entries=1, seed=1):
-    """Offer a multiple of the capacity for 40 s."""
+    """Load with a multiple of the capacity for 40 s."""
     sim = Play(policy, entries=entries, seed=seed)
     rng = random.Random(seed)
     sim.send(poisson(rng, times * CAPACITY, 0, 40_000, typical_call(rng)))
@@ -54,7 +54,7 @@
 
 
 def burst(policy: EntryPolicy, resend=None, seed=1):
-    """Half the capacity, and four times it for two seconds."""
+    """Load at half the capacity, with a burst of four times it for 2 s."""
     sim = Play(policy, seed=seed)
     sim.resend = resend or sim.resend
     rng = random.Random(seed)
@@ -139,7 +139,7 @@
 
 
 def failing_endpoint(policy: EntryPolicy, seed=1):
-    """One of five engines fails all it is given from 10 s to 20 s."""
+    """One of five engines fails all requests from 10 s to 20 s."""
     sim = Play(policy, seed=seed)
     rng = random.Random(seed)
     sim.send(poisson(rng, 30, 0, 40_000, typical_call(rng)))
@@ -158,7 +158,7 @@
 
 
 def lost_data_centre(policy: EntryPolicy, seed=1):
-    """Six engines at three quarters; a data centre with two goes."""
+    """Lose a data centre with two of six engines at 75% load."""
     sim = Play(policy, engines=6, entries=3, seed=seed)
     rng = random.Random(seed)
     sim.send(poisson(rng, 55, 0, 60_000, typical_call(rng)))
@@ -177,7 +177,7 @@
 
 
 def stale_reports(policy: EntryPolicy, missing: tuple[int, ...], seed=1):
-    """Three entries; some engines' reports stop after 5 s."""
+    """Stop the reports of some engines after 5 s, with three entries."""
     sim = Play(policy, entries=3, seed=seed)
     rng = random.Random(seed)
     sim.send(poisson(rng, 50, 0, 40_000, typical_call(rng)))
@@ -192,7 +192,7 @@
 
 
 def prefixes(policy: EntryPolicy, hot=0.0, seed=1, rate=35):
-    """Conversations with long shared prefixes; a part is on one key."""
+    """Conversations with long shared prefixes; share `hot` uses one key."""
     sim = Play(policy, entries=3, seed=seed)
     rng = random.Random(seed)
 
@@ -221,7 +221,7 @@
 
 
 def poison(policy: EntryPolicy, entries=3, resend=None, seed=1):
-    """One request crashes each engine that runs it; it is sent again."""
+    """Resend a request that crashes each engine that runs it."""
     sim = Play(policy, engines=6, entries=entries, seed=seed)
     sim.resend = resend or sim.resend
     rng = random.Random(seed)
@@ -248,7 +248,7 @@
 
 
 def one_kind(policy: EntryPolicy, rate, seed=1, stop=40_000, **fields):
-    """One kind of call alone; the figures are of what comes after 10 s."""
+    """Load with one kind of call; results cover calls sent after 10 s."""
     sim = Play(policy, seed=seed)
     rng = random.Random(seed)
 
@@ -266,7 +266,7 @@
 
 
 def cold_start(policy: EntryPolicy, seed=1):
-    """Nine tenths of the capacity from the first moment on."""
+    """Load at 90% of the capacity from the start."""
     sim = Play(policy, seed=seed)
     rng = random.Random(seed)
     sim.send(poisson(rng, 55, 0, 10_000, typical_call(rng)))
--- a/dahliashunt/decisions/tests/test_caps.py
+++ b/dahliashunt/decisions/tests/test_caps.py
@@ -1,4 +1,4 @@
-"""Caps of workspaces over all entries, played without a network."""
+"""Tests of rate limits over all entries, in simulation."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 def hot_simulation(policy, seed, callers=ENTRIES, times=HOT_FACTOR, **options):
-    """Return a play with a workspace at `times` its limit."""
+    """Return a simulation with a workspace at `times` its limit."""
     sim = CapPlay(policy, ENTRIES, METER_HOSTS, LIMIT, seed, **options)
     rng = random.Random(seed)
     for at_ms in arrivals(rng, times * RATE, 0, SECONDS * 1000):
@@ -34,14 +34,14 @@
 
 
 def light_simulation(policy, seed, callers):
-    """Return a play with a workspace below its limit, on few entries."""
+    """Return a simulation with a workspace below its limit."""
     return hot_simulation(policy, seed, callers, times=0.6)
 
 
 @pytest.mark.parametrize("policy", list(CAPS))
 @pytest.mark.parametrize("seed", range(4))
 def test_a_hot_workspace_is_held_to_its_limit(policy, seed):
-    """Guards against a limit that each entry grants anew."""
+    """Guards against entries that each grant the whole limit."""
     sim = hot_simulation(policy, seed)
     sim.run(30_000)
     assert overruns(sim, 7, LIMIT, BURST) <= 0
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_below_its_limit_a_workspace_is_not_refused(seed):
-    """Guards against refusals of a caller that hangs on two entries."""
+    """Guards against refusals of a workspace that uses only two entries."""
     sim = light_simulation("metered", seed, callers=2)
     sim.run(30_000)
     assert lost(sim, 7, RATE, BURST) <= 0
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_at_its_limit_a_workspace_gets_all_of_it(seed):
-    """Guards against a hot workspace that is refused what it may send."""
+    """Guards against refusals of a hot workspace within its limit."""
     sim = hot_simulation("metered", seed, times=4)
     sim.run(30_000)
     assert lost(sim, 7, RATE, BURST) <= 0
@@ -76,7 +76,7 @@
 
 
 def split(sim, numbers, hosts, from_ms, until_ms):
-    """Cut entries `numbers` with the meters `hosts` off the others."""
+    """Partition entries `numbers` and meters `hosts` from the others."""
 
     def is_cut(number, host):
         if not from_ms <= sim.now_ms < until_ms:
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_two_halves_of_a_fleet_stay_within_the_limit(seed):
-    """Guards against a limit that each half of a split fleet grants."""
+    """Guards against halves of a partition that each grant the limit."""
     sim = hot_simulation("metered", seed)
     hosts = {f"m{n}" for n in range(METER_HOSTS // 2)}
     split(sim, set(range(ENTRIES // 2)), hosts, 4_000, 16_000)
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_entries_without_any_meter_go_by_their_shares(seed):
-    """Guards against callers that are shut out, or let in unbounded."""
+    """Guards against refusing or admitting all while no meter answers."""
     sim = hot_simulation("metered", seed)
     split(sim, set(range(ENTRIES)), set(), 4_000, 30_000)
     sim.run(30_000)
@@ -109,7 +109,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_killed_entries_and_meters_leave_the_count_standing(seed):
-    """Guards against a limit that starts anew with each loss."""
+    """Guards against a count that restarts when a process is lost."""
     sim = hot_simulation("metered", seed)
     rng = random.Random(seed)
     for at_ms in range(1_000, SECONDS * 1000, 700):
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_lost_doubled_and_late_messages_change_no_count(seed):
-    """Guards against reports that are counted twice or never."""
+    """Guards against reports that are counted twice or not at all."""
     sim = hot_simulation("metered", seed)
     sim.loss, sim.doubling = 0.1, 0.2
     sim.run(30_000)
@@ -134,7 +134,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_frozen_entry_lets_in_nothing_it_held(seed):
-    """Guards against old credit of an entry that stood still."""
+    """Guards against stale credit of a paused entry."""
     sim = hot_simulation("metered", seed)
     for number in range(8):
         sim.at(5_000, lambda n=number: sim.freeze(n, 6_000))
@@ -144,7 +144,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_lowered_limit_binds_entries_that_have_not_heard_of_it(seed):
-    """Guards against an entry that asks by a limit that was taken back."""
+    """Guards against an entry that applies an outdated limit."""
     sim = hot_simulation("metered", seed)
     lower = RateLimit(RATE / 4, BURST / 4 + ALLOWANCE, revision=2)
 
@@ -176,7 +176,7 @@
 def test_no_history_lets_in_more_than_the_limit(
     seed, rate, times, loss, faults
 ):
-    """Guards against orders of faults that nobody thought of."""
+    """Guards against overruns under random sequences of faults."""
     limit = RateLimit(rate, rate + ALLOWANCE, 1)
     sim = CapPlay("metered", 12, 5, limit, seed)
     sim.loss = loss
@@ -199,7 +199,7 @@
 
 
 def test_a_repeated_report_is_counted_once():
-    """Guards against a doubled datagram that counts twice."""
+    """Guards against a duplicate datagram that is counted twice."""
     meter = Meter()
     for _ in range(3):
         reading = meter.report(0, "a", report(5, 1))
@@ -207,7 +207,7 @@
 
 
 def test_an_older_report_takes_nothing_back():
-    """Guards against a late datagram that undoes a newer one."""
+    """Guards against a late datagram that overwrites a newer one."""
     meter = Meter()
     meter.report(0, "a", report(5, 2))
     reading = meter.report(0, "a", report(3, 1))
@@ -215,7 +215,7 @@
 
 
 def test_a_restarted_meter_counts_what_came_since():
-    """Guards against an old count that fills a fresh meter at once."""
+    """Guards against old requests that fill the level of a new meter."""
     meter = Meter()
     reading = meter.report(0, "a", report(1_003, 9, since=1_000))
     assert (reading.level, reading.mature) == (3, False)
@@ -225,7 +225,7 @@
 
 
 def test_refused_callers_get_turns_after_one_another():
-    """Guards against refused callers who all return at one moment."""
+    """Guards against refused callers that all retry at once."""
     meter = Meter()
     meter.report(0, "a", report(25, 1))
     waits = [
@@ -236,7 +236,7 @@
 
 
 def test_a_request_that_did_not_run_is_given_back():
-    """Guards against refusals by replicas that use up a limit."""
+    """Guards against requests refused by replicas that use up a limit."""
     sim = CapPlay("metered", 1, 3, LIMIT)
     policy = sim.entries[0].policy
     for n in range(200):
@@ -248,7 +248,7 @@
 
 
 def test_a_meter_forgets_workspaces_and_counts_that_ended():
-    """Guards against a table that grows with each pause of a workspace."""
+    """Guards against tables that grow with each pause of a workspace."""
     meter = Meter()
     for second in range(200):
         now_ms = second * 1_000
@@ -260,7 +260,7 @@
 
 
 def test_two_halves_of_a_large_fleet_stay_within_the_limit():
-    """Guards against least shares that add up to more than the limit."""
+    """Guards against minimum shares that exceed the limit in total."""
     rate, entries = 300.0, 500
     limit = RateLimit(rate, rate + ALLOWANCE, 1)
     sim = CapPlay("metered", entries, 64, limit, seed=1)
