--- a/dahliashunt/decisions/meter.py
+++ b/dahliashunt/decisions/meter.py
@@ -94,7 +94,7 @@
 
     Attributes
     ----------
-    heard : HeardEntries
+    heard : EntryLiveness
         Must be notified of all messages of entries, not only of reports.
 
     Notes
--- a/dahliashunt/decisions/metered.py
+++ b/dahliashunt/decisions/metered.py
@@ -117,17 +117,17 @@
 
     def level(self, now_ms):
         """Return the level over all entries, as known to this entry."""
-        heard = [t for t in self.meter_by_host.values() if t.at_ms is not None]
+        heard = [m for m in self.meter_by_host.values() if m.at_ms is not None]
         levels = [
             self._level_by(meter, now_ms)
-            for meter in [t for t in heard if t.mature] or heard
+            for meter in [m for m in heard if m.mature] or heard
         ]
         return max(levels, default=float(self.total))
 
     def _level_by(self, meter, now_ms):
-        paid = (now_ms - meter.at_ms) * self.limit.rate / 1000
+        drained = (now_ms - meter.at_ms) * self.limit.rate / 1000
         unreported = max(0, self.total - meter.counted)
-        return max(0.0, meter.level - paid) + unreported
+        return max(0.0, meter.level - drained) + unreported
 
     def knows_more(self, now_ms, reading):
         """Tell whether another meter has counted more than this one.
@@ -155,8 +155,10 @@
     def is_reported(self):
         """Tell whether a majority of the meters has answered all reports."""
         meters = self.meter_by_host.values()
-        open_ = sum(meter.unanswered_ms is not None for meter in meters)
-        return self.total == self.reported_total and len(meters) > 2 * open_
+        unanswered = sum(meter.unanswered_ms is not None for meter in meters)
+        return (
+            self.total == self.reported_total and len(meters) > 2 * unanswered
+        )
 
     def is_metered(self, now_ms):
         """Tell whether a majority of the meters answers."""
@@ -210,7 +212,7 @@
         use = self._use(now_ms, workspace, limit)
         if not use.is_metered(now_ms):
             return self._take_from_share(now_ms, use)
-        if not self._is_far_from_limit(now_ms, use):
+        if not self._may_admit_locally(now_ms, use):
             return self._ask(now_ms, use)
         use.total += 1
         self._share.note(now_ms, workspace, limit)
@@ -218,7 +220,7 @@
         self._report_to_all(now_ms, use)
         return Verdict.ADMITTED
 
-    def _is_far_from_limit(self, now_ms, use):
+    def _may_admit_locally(self, now_ms, use):
         """Tell whether one more request may be admitted locally.
 
         Bounds the uncounted requests over all entries: an entry that was
@@ -227,9 +229,9 @@
         if use.question is not None:
             return False
         room = UNCHECKED_SHARE * use.limit.room - use.level(now_ms)
-        most = max(1.0, room / max(1, self._entry_count()))
+        max_uncounted = max(1.0, room / max(1, self._entry_count()))
         return room >= min(1.0, UNCHECKED_SHARE * use.limit.room) and (
-            use.uncounted() + 1 <= most
+            use.uncounted() + 1 <= max_uncounted
         )
 
     def _take_from_share(self, now_ms, use):
@@ -339,7 +341,7 @@
     def _ask_for_queue(self, now_ms, use):
         meters = use.meter_by_host.values()
         ranked = sorted(
-            meters, key=lambda t: (t.is_silent(now_ms), not t.mature)
+            meters, key=lambda m: (m.is_silent(now_ms), not m.mature)
         )
         use.question = _Question(use.queue, [meter.host for meter in ranked])
         use.queue = []
--- a/dahliashunt/decisions/rate_limits.py
+++ b/dahliashunt/decisions/rate_limits.py
@@ -159,8 +159,8 @@
 
     def at(self, now_ms: int, rate: float) -> float:
         """Return the level at `now_ms`; at least 0."""
-        paid = (now_ms - self._at_ms) * rate / 1000
-        self._value = max(0.0, self._value - max(0.0, paid))
+        drained = (now_ms - self._at_ms) * rate / 1000
+        self._value = max(0.0, self._value - max(0.0, drained))
         self._at_ms = max(self._at_ms, now_ms)
         return self._value
 
--- a/dahliashunt/decisions/tail.py
+++ b/dahliashunt/decisions/tail.py
@@ -113,7 +113,7 @@
             caused = self._prepaid = False
         credit = self._credit + self.allowed - caused
         self._credit = max(_MIN_CREDIT, min(_MAX_CREDIT, credit))
-        # Gaps over the target without batch don't count as stalls.
+        # Batch cannot prevent gaps that exceed the target without it.
         stall = 0.0 if over or stalled else max(0.0, gap_ms - step)
         self._keep_stall(stall)
 
--- a/dahliashunt/decisions/tests/cap_play.py
+++ b/dahliashunt/decisions/tests/cap_play.py
@@ -256,11 +256,11 @@
 
 def lost(sim, workspace, rate, burst):
     """Return how many more requests one exact bucket would have admitted."""
-    exact, owed = Level(), 0
+    exact, expected = Level(), 0
     for request in sorted(sim.requests, key=lambda r: r.at_ms):
         if request.workspace != workspace:
             continue
         if exact.at(request.at_ms, rate) + 1 <= burst:
             exact.add(request.at_ms, rate)
-            owed += 1
-    return owed - len(sim.admitted(workspace))
+            expected += 1
+    return expected - len(sim.admitted(workspace))
