--- a/dahliashunt/decisions/limits.py
+++ b/dahliashunt/decisions/limits.py
@@ -1,10 +1,10 @@
-"""Limits of the callers, and token buckets for the hard ones.
+"""Limits of callers, and token buckets for hard limits.
 
-A hard limit counts plain tokens, of prompt and answer alike.
+A hard limit counts tokens, of prompt and answer alike.
 
-Load pattern: a caller sends more than it has paid for, with others idle
-or not. `TokenBuckets` says to the millisecond when a refused request would
-pass, so that its resend is not refused again.
+Load pattern: a caller sends more than its limit, whether others are idle or
+not. `Buckets` returns the time until a refused request would be admitted, so
+that its retry is not refused again.
 """
 
 from dataclasses import dataclass
@@ -15,17 +15,17 @@
 
 __all__ = ["LimitsTable", "TokenBuckets"]
 
-_NEVER_MS = 60_000
-"""When to ask again for a caller whose limit is 0."""
+_BLOCKED_RETRY_MS = 60_000
+"""Retry delay of a caller whose limit is 0."""
 
-_LEAST_WEIGHT = 0.001
+_MIN_WEIGHT = 0.001
 
-_SWEEP = 2
-"""Idle entries looked at for each new one; above 1 the table shrinks."""
+_SWEEP_CHECKS = 2
+"""Buckets checked for eviction per new one; above 1 the table shrinks."""
 
 
 class LimitsTable:
-    """Limits by caller; equal limits are one object.
+    """Limits by caller; equal limits share one object.
 
     Examples
     --------
@@ -41,15 +41,15 @@
         self._shared: dict[CallerLimits, CallerLimits] = {}
 
     def put(self, caller: CallerId, limits: CallerLimits | None) -> None:
-        """Set the limits of `caller`; None goes back to the default.
+        """Set the limits of `caller`; None restores the default.
 
-        A weight of 0 becomes the least one: shares are divided by it.
+        The weight is raised to a positive minimum, since it is a divisor.
         """
         if limits is None or limits == self._default:
             self._by_caller.pop(caller, None)
             return
-        if limits.weight < _LEAST_WEIGHT:
-            limits = replace(limits, weight=_LEAST_WEIGHT)
+        if limits.weight < _MIN_WEIGHT:
+            limits = replace(limits, weight=_MIN_WEIGHT)
         self._by_caller[caller] = self._shared.setdefault(limits, limits)
 
     def get(self, caller: CallerId) -> CallerLimits:
@@ -64,14 +64,14 @@
     burst: float
     rate: float
 
-    def fill(self, now: int) -> None:
+    def refill(self, now: int) -> None:
         tokens = self.tokens + (now - self.at_ms) * self.rate
         self.tokens = min(self.burst, tokens)
         self.at_ms = now
 
 
-class TokenBuckets:
-    """Token buckets of the callers that have a hard limit.
+class Buckets:
+    """Token buckets of callers with a hard limit.
 
     Examples
     --------
@@ -91,18 +91,18 @@
     def take(
         self, now: int, caller: CallerId, cost: float, limits: CallerLimits
     ) -> int:
-        """Take `cost`; return 0, or the milliseconds until it is there.
+        """Take `cost` tokens; return 0, or the milliseconds to wait for them.
 
-        A request larger than the whole burst goes when the bucket is
-        full and leaves it in debt; else it could never go.
+        A request larger than the burst is admitted when the bucket is
+        full, and leaves it in debt; otherwise it could never run.
         """
         if limits.tokens_a_second is None:
             return 0
         if limits.tokens_a_second <= 0:
-            return _NEVER_MS
+            return _BLOCKED_RETRY_MS
         rate = limits.tokens_a_second / 1000
         burst = limits.tokens_a_second * limits.burst_s
-        bucket = self._filled(now, caller, rate, burst)
+        bucket = self._refilled(now, caller, rate, burst)
         missing = min(cost, burst) - bucket.tokens
         if missing > 1e-6:
             return max(1, -int(-missing // rate))
@@ -110,7 +110,7 @@
         return 0
 
     def give_back(self, caller: CallerId, cost: float) -> None:
-        """Return what was taken too much (negative: take the rest)."""
+        """Refund `cost` tokens; a negative cost takes more."""
         bucket = self._by_caller.get(caller)
         if bucket is not None:
             bucket.tokens += cost
@@ -118,7 +118,7 @@
     def __len__(self) -> int:
         return len(self._by_caller)
 
-    def _filled(
+    def _refilled(
         self, now: int, caller: CallerId, rate: float, burst: float
     ) -> _Bucket:
         bucket = self._by_caller.get(caller)
@@ -127,14 +127,14 @@
             bucket = self._by_caller[caller] = _Bucket(burst, now, burst, rate)
         bucket.burst = burst
         bucket.rate = rate
-        bucket.fill(now)
+        bucket.refill(now)
         return bucket
 
     def _sweep(self, now: int) -> None:
-        # A full bucket is like one never seen, so it can go.
-        for _ in range(min(_SWEEP, len(self._by_caller))):
+        # A full bucket equals a new one and can be evicted.
+        for _ in range(min(_SWEEP_CHECKS, len(self._by_caller))):
             caller = next(iter(self._by_caller))
             bucket = self._by_caller.pop(caller)
-            bucket.fill(now)
+            bucket.refill(now)
             if bucket.tokens < bucket.burst:
                 self._by_caller[caller] = bucket
