--- a/dahliashunt/decisions/agent.py
+++ b/dahliashunt/decisions/agent.py
@@ -20,7 +20,7 @@
 from dahliashunt.decisions.events import TurnAway
 from dahliashunt.decisions.events import Work
 from dahliashunt.decisions.gates import GATES
-from dahliashunt.decisions.running import Running
+from dahliashunt.decisions.running import RunningStreams
 from dahliashunt.decisions.step_model import StepModel
 from dahliashunt.decisions.streams import Stream
 from dahliashunt.decisions.streams import StreamState
@@ -76,7 +76,7 @@
         tail = TailBound(policy, self.model)
         self._gate = GATES.get(policy.gate)(policy, self.model, tail)
         self._drain = Drain(rng, policy.max_retry_after_ms)
-        self._running = Running(policy, self.model, tail)
+        self._running = RunningStreams(policy, self.model, tail)
         self._decider = Decider(
             policy, self.model, self._gate, self._running, self._drain
         )
@@ -96,7 +96,7 @@
         if self._leaving:
             kind = ErrorKind.LEAVING
             return [TurnAway(work.attempt_id, kind, _LEAVING_RETRY_MS)]
-        stream = Stream(work, done=work.done_tokens)
+        stream = Stream(work, generated_tokens=work.done_tokens)
         stream.prefill = work.prompt_tokens
         self._by_id[work.attempt_id] = stream
         self._waiting.add(stream)
@@ -119,7 +119,7 @@
         """Take in the engine's lagging report."""
         if self.model.samples == 0 and load.step_ms > 0 and load.running:
             self.model.observe(load.step_ms, load.running, load.kv_used_tokens)
-        self._gate.reported(
+        self._gate.update_limits(
             now, load, self._running.queues_in_engine(now, load.age_ms)
         )
         return self._decide(now)
@@ -130,7 +130,7 @@
         if stream is None:
             return []
         if stream.state is StreamState.WAITING:
-            self._waiting.drop(stream)
+            self._waiting.remove(stream)
             return self._decide(now)
         if stream.online:
             self._drain.answered()
@@ -138,7 +138,7 @@
         else:
             error = stream.kv_tokens - self._item_tokens
             self._item_tokens += _ITEM_WEIGHT * error
-        self._running.left(stream)
+        self._running.remove(stream)
         return self._decide(now)
 
     def preempted(
@@ -154,15 +154,17 @@
             return []
         if stream.cancelled:
             return self.ended(now, attempt_id)
-        self._running.left(stream)
+        self._running.remove(stream)
         stream.state = StreamState.WAITING
         stream.stopping = None
         stream.how = how
-        stream.done = 0 if how is PreemptHow.RESTART else done_tokens
-        stream.ran_tokens = 0
+        stream.generated_tokens = (
+            0 if how is PreemptHow.RESTART else done_tokens
+        )
+        stream.tokens_since_start = 0
         stream.preemptions += 1
         if self._leaving:
-            return [self._decider.turn_away(stream, ErrorKind.LEAVING, 1)]
+            return [self._decider.refuse(stream, ErrorKind.LEAVING, 1)]
         self._waiting.put_back(stream)
         return self._decide(now)
 
@@ -180,9 +182,7 @@
         """Turn away all that waits, and refuse offers from now on."""
         self._leaving = True
         return [
-            self._decider.turn_away(
-                stream, ErrorKind.LEAVING, _LEAVING_RETRY_MS
-            )
+            self._decider.refuse(stream, ErrorKind.LEAVING, _LEAVING_RETRY_MS)
             for stream in self._waiting.clear()
         ]
 
@@ -197,14 +197,16 @@
     def batch_room(self) -> int:
         """Return how many batch items would be taken now."""
         waiting = self._waiting
-        if self._leaving or self._decider.alone_holds():
+        if self._leaving or self._decider.alone_blocks_others():
             return 0
         fits = self._gate.room(int(self._item_tokens), self._running.occupancy)
         held = len(waiting.batch)
-        usual = self._gate.usual_prompt_tokens()
-        long = sum(stream.prefill > usual for stream in waiting.batch)
-        room = fits + self._buffer_items() - (held - long)
-        return max(0, min(room, self._most_held() + fits - held))
+        short_limit = self._gate.short_prompt_tokens()
+        long_prompts = sum(
+            stream.prefill > short_limit for stream in waiting.batch
+        )
+        room = fits + self._buffer_items() - (held - long_prompts)
+        return max(0, min(room, self._max_held() + fits - held))
 
     def status(self) -> AgentStatus:
         """Return what the agent reports on its endpoint."""
@@ -223,8 +225,8 @@
     def _decide(self, now: int) -> list[Decision]:
         return [] if self._leaving else self._decider.decide(now)
 
-    def _most_held(self) -> int:
-        return max(self.policy.most_held_items, self._buffer_items())
+    def _max_held(self) -> int:
+        return max(self.policy.max_held_items, self._buffer_items())
 
     def _buffer_items(self) -> int:
         """Return the items to hold ready until a refill arrives."""
--- a/dahliashunt/decisions/agent_decider.py
+++ b/dahliashunt/decisions/agent_decider.py
@@ -16,7 +16,7 @@
 from itertools import islice
 
 from dahliashunt.decisions.agent_policy import AgentPolicy
-from dahliashunt.decisions.agent_waiting import Waiting
+from dahliashunt.decisions.agent_waiting import WaitingStreams
 from dahliashunt.decisions.drain import Drain
 from dahliashunt.decisions.events import Preempt
 from dahliashunt.decisions.events import Start
@@ -24,7 +24,7 @@
 from dahliashunt.decisions.gate import IdleCapacity
 from dahliashunt.decisions.gate import Shortfall
 from dahliashunt.decisions.preemption import resume_prefill
-from dahliashunt.decisions.running import Running
+from dahliashunt.decisions.running import RunningStreams
 from dahliashunt.decisions.step_model import StepModel
 from dahliashunt.decisions.streams import Stream
 from dahliashunt.errors import ErrorKind
@@ -44,9 +44,9 @@
     ----------
     gate : IdleCapacity
         The gate, or one of its baselines.
-    running : Running
+    running : RunningStreams
         Streams in the engine.
-    waiting : Waiting
+    waiting : WaitingStreams
         Streams that are not.
     drain : Drain
         When a waiting stream would start.
@@ -59,7 +59,7 @@
         policy: AgentPolicy,
         model: StepModel,
         gate: IdleCapacity,
-        running: Running,
+        running: RunningStreams,
         drain: Drain,
     ):
         self._policy = policy
@@ -67,14 +67,14 @@
         self.gate = gate
         self.running = running
         self.drain = drain
-        self.waiting = Waiting()
+        self.waiting = WaitingStreams()
         self.by_id: dict[AttemptId, Stream] = {}
 
     def decide(self, now: int) -> list[Decision]:
         """Return what to start, stop and refuse now."""
-        self.gate.look(now, self.running.occupancy)
+        self.gate.update_activity(now, self.running.occupancy)
         decisions: list[Decision] = self._expire(now)
-        if self.alone_holds():
+        if self.alone_blocks_others():
             self._decide_alone(now, decisions)
             return decisions
         self._start_online(now, decisions)
@@ -85,7 +85,7 @@
                 decisions += self.running.stop(excess)
                 return decisions
         if self.waiting.batch and not self.waiting.online:
-            if not self.gate.batch_closed(occupancy):
+            if not self.gate.batch_blocked(occupancy):
                 self._start_batch(now, decisions)
             decisions += self._refuse_long(now)
         return decisions
@@ -98,7 +98,7 @@
             if self.gate.online_blocked(stream, occupancy):
                 self._refuse_late(now, decisions)
                 return
-            if self.gate.online_short((stream,), occupancy):
+            if self.gate.online_shortfall((stream,), occupancy):
                 decisions += self._make_room()
                 return
             online.popleft()
@@ -109,33 +109,33 @@
         if not self.gate.preempts:
             return []
         occupancy = self.running.occupancy
-        most = max(1, self.gate.max_running - occupancy.online)
-        waiting = tuple(islice(self.waiting.online, most))
-        short = self.gate.online_short(waiting, occupancy)
+        max_streams = max(1, self.gate.max_running - occupancy.online)
+        waiting = tuple(islice(self.waiting.online, max_streams))
+        shortfall = self.gate.online_shortfall(waiting, occupancy)
         missing = Shortfall(
-            max(0, short.slots - occupancy.stopping),
-            max(0, short.kv_tokens - occupancy.kv_stopping),
+            max(0, shortfall.slots - occupancy.stopping),
+            max(0, shortfall.kv_tokens - occupancy.kv_stopping),
         )
         return self.running.stop(missing) if missing else []
 
     def _start_batch(self, now: int, decisions: list[Decision]) -> None:
         batch = self.waiting.batch
         occupancy = self.running.occupancy
-        usual = self.gate.usual_prompt_tokens()
-        place = 0
-        while place < len(batch):
-            stream = batch[place]
+        short_limit = self.gate.short_prompt_tokens()
+        index = 0
+        while index < len(batch):
+            stream = batch[index]
             stream.prefill = resume_prefill(stream, self._policy)
             if self.gate.batch_fits(now, stream, occupancy):
-                del batch[place]
+                del batch[index]
                 self.gate.batch_started(now, stream, occupancy)
                 decisions.append(self.running.start(now, stream))
                 continue
             # A long prompt that must wait for an idle engine would keep
             # the short ones behind it waiting, and the room unused.
-            if stream.prefill <= usual:
+            if stream.prefill <= short_limit:
                 break
-            place += 1
+            index += 1
 
     def _refuse_long(self, now: int) -> list[TurnAway]:
         """Refuse long prompts that would fill the places held for batch.
@@ -144,20 +144,24 @@
         them would end batch here for good.
         """
         policy = self._policy
-        if len(self.waiting.batch) <= policy.most_held_items // 2:
+        if len(self.waiting.batch) <= policy.max_held_items // 2:
             return []
-        usual = self.gate.usual_prompt_tokens()
-        long = [s for s in self.waiting.batch if s.prefill > usual]
+        short_limit = self.gate.short_prompt_tokens()
+        long_prompts = [
+            s for s in self.waiting.batch if s.prefill > short_limit
+        ]
         refused = []
-        for stream in long[policy.most_held_items // 2 :]:
+        for stream in long_prompts[policy.max_held_items // 2 :]:
             if stream.preemptions:
                 continue
-            self.waiting.drop(stream)
-            after = policy.long_retry_ms
-            refused.append(self.turn_away(stream, ErrorKind.OVERLOADED, after))
+            self.waiting.remove(stream)
+            retry_after_ms = policy.long_retry_ms
+            refused.append(
+                self.refuse(stream, ErrorKind.OVERLOADED, retry_after_ms)
+            )
         return refused
 
-    def alone_holds(self) -> bool:
+    def alone_blocks_others(self) -> bool:
         """Return whether work that must run alone holds up the rest."""
         if self.running.alone is not None:
             return True
@@ -183,18 +187,21 @@
 
     def _refuse_late(self, now: int, decisions: list[Decision]) -> None:
         """Refuse waiting online work that can't start in time, now."""
-        gap, first = self._drain_ms()
+        gap, initial_wait = self._drain_ms()
         kept: deque[Stream] = deque()
         for stream in self.waiting.online:
             wait = self.drain.wait_ms(len(kept) + 1, gap, stream.admitted)
             full = len(kept) >= self._policy.max_waiting_online
-            if now + first + wait <= stream.work.start_by_ms and not full:
+            if (
+                now + initial_wait + wait <= stream.work.start_by_ms
+                and not full
+            ):
                 stream.admitted = True
                 kept.append(stream)
                 continue
-            after = self.drain.retry_after_ms(now, len(kept), gap)
+            retry_after_ms = self.drain.retry_after_ms(now, len(kept), gap)
             decisions.append(
-                self.turn_away(stream, ErrorKind.OVERLOADED, after)
+                self.refuse(stream, ErrorKind.OVERLOADED, retry_after_ms)
             )
         self.waiting.online = kept
 
@@ -203,30 +210,30 @@
         occupancy = self.running.occupancy
         step = self._model.predict(occupancy.online, occupancy.kv_online)
         gap = self.drain.gap_ms(occupancy.online, step)
-        if not self.alone_holds():
+        if not self.alone_blocks_others():
             return gap, 0.0
         alone = self.running.alone
         if alone is not None and not alone.online:
             return gap, step
         # The running streams end, then the one alone runs to its end.
-        runs = 1 if alone is not None else 1 + (occupancy.online > 0)
-        return gap, runs * self.drain.gap_ms(1, step)
+        runs_before = 1 if alone is not None else 1 + (occupancy.online > 0)
+        return gap, runs_before * self.drain.gap_ms(1, step)
 
     def _expire(self, now: int) -> list[Decision]:
-        late = self.waiting.expired(now)
-        if not late:
+        expired = self.waiting.expired(now)
+        if not expired:
             return []
-        gap, first = self._drain_ms()
+        gap, initial_wait = self._drain_ms()
         return [
-            self.turn_away(
+            self.refuse(
                 stream,
                 ErrorKind.OVERLOADED,
-                self.drain.retry_after_ms(now, 0, gap + first),
+                self.drain.retry_after_ms(now, 0, gap + initial_wait),
             )
-            for stream in late
+            for stream in expired
         ]
 
-    def turn_away(
+    def refuse(
         self, stream: Stream, kind: ErrorKind, after_ms: int
     ) -> TurnAway:
         """Return the refusal of a waiting stream, which is forgotten."""
--- a/dahliashunt/decisions/agent_policy.py
+++ b/dahliashunt/decisions/agent_policy.py
@@ -77,7 +77,7 @@
         Cost of moving a thousand tokens of KV cache out or in.
     buffer_items, refill_ms
         Fewest batch items held ready, and the time that a refill takes.
-    most_held_items : int
+    max_held_items : int
         Most batch items held, those with long prompts included; of these
         no more than half.
     long_retry_ms : int
@@ -119,7 +119,7 @@
     resume_recomputes: bool = True
     kv_move_ms_per_1000: float = 1.0
     buffer_items: int = 4
-    most_held_items: int = 24
+    max_held_items: int = 24
     long_retry_ms: int = 10_000
     refill_ms: float = 50.0
     fixed_batch_slots: int = 32
--- a/dahliashunt/decisions/agent_waiting.py
+++ b/dahliashunt/decisions/agent_waiting.py
@@ -10,12 +10,12 @@
 
 from dahliashunt.decisions.streams import Stream
 
-__all__ = ["Waiting"]
+__all__ = ["WaitingStreams"]
 
 _NEVER = 1 << 62
 
 
-class Waiting:
+class WaitingStreams:
     """Three queues, each first in first out.
 
     Preempted batch streams go to the front: they hold work done.
@@ -36,16 +36,16 @@
         """Put a preempted stream first in its queue."""
         self._queue(stream).appendleft(stream)
 
-    def drop(self, stream: Stream) -> None:
+    def remove(self, stream: Stream) -> None:
         """Take a stream out."""
         self._queue(stream).remove(stream)
 
     def clear(self) -> list[Stream]:
         """Take all out and return them."""
-        everything = list(self)
+        waiting = list(self)
         for queue in (self.alone, self.online, self.batch):
             queue.clear()
-        return everything
+        return waiting
 
     def expired(self, now: int) -> list[Stream]:
         """Take out and return what should have started before now.
@@ -60,7 +60,7 @@
             if stream.work.start_by_ms < now and not stream.preemptions
         ]
         for stream in late:
-            self.drop(stream)
+            self.remove(stream)
         self._earliest_ms = self._earliest()
         return late
 
--- a/dahliashunt/decisions/batch_order.py
+++ b/dahliashunt/decisions/batch_order.py
@@ -47,7 +47,7 @@
     "BatchOrder",
     "BatchOrderPolicy",
     "FailItem",
-    "FirstCome",
+    "FirstComeFirstServed",
     "Grant",
     "RetryItem",
 ]
@@ -69,15 +69,15 @@
         in which the share of one caller can be made up.
     urgent_share : float
         Part of the granted tokens that may go to urgent jobs first.
-    last_items : int
+    nearly_done_items : int
         A job with no more items than this ends before its caller's other
         jobs go on: it costs them little and frees a whole job.
-    fair_every : int
+    least_served_every : int
         Each so many grants of a caller go to the job that had least, so
         that its late jobs move while the early ones are served.
-    most_attempts : int
+    max_attempts : int
         After so many failed attempts an item is failed for good.
-    backoff_ms, most_backoff_ms : int
+    backoff_ms, max_backoff_ms : int
         Wait before the second attempt, doubled for each one more.
     rate_prior : float
         Tokens a second of one model until its rate was seen.
@@ -86,11 +86,11 @@
     order: str = "laxity"
     urgent_ms: int = 600_000
     urgent_share: float = 0.6
-    last_items: int = 8
-    fair_every: int = 4
-    most_attempts: int = 3
+    nearly_done_items: int = 8
+    least_served_every: int = 4
+    max_attempts: int = 3
     backoff_ms: int = 1_000
-    most_backoff_ms: int = 30_000
+    max_backoff_ms: int = 30_000
     rate_prior: float = 500.0
 
 
@@ -120,7 +120,7 @@
     attempts: int
 
 
-class _Items:
+class _ItemRetries:
     """What becomes of failed items; the same in every order."""
 
     def __init__(self, policy: BatchOrderPolicy, rng: random.Random):
@@ -136,16 +136,16 @@
         go on: a retry never holds a place.
         """
         policy = self.policy
-        if attempt >= policy.most_attempts:
+        if attempt >= policy.max_attempts:
             return FailItem(job_id, item, attempt)
         wait = policy.backoff_ms << (attempt - 1)
-        wait = min(wait, policy.most_backoff_ms)
+        wait = min(wait, policy.max_backoff_ms)
         jittered = int(wait * (0.5 + self._rng.random()))
         return RetryItem(job_id, item, now + jittered)
 
 
 @BATCH_ORDERS.register("laxity")
-class BatchOrder(_Items):
+class BatchOrder(_ItemRetries):
     """Least laxity under weighted fair shares.
 
     Parameters
@@ -180,8 +180,8 @@
         if queue is None:
             queue = ModelQueue(
                 self.policy.rate_prior,
-                self.policy.last_items,
-                self.policy.fair_every,
+                self.policy.nearly_done_items,
+                self.policy.least_served_every,
             )
             self._queues_by_model[job.model] = queue
         queue.put(job)
@@ -214,20 +214,20 @@
         items_by_job: dict[JobId, int] = {}
         for _ in range(room):
             job_id = None
-            if queue.urgent_part <= policy.urgent_share:
-                job_id = queue.urgent(now, policy.urgent_ms)
+            if queue.urgent_fraction <= policy.urgent_share:
+                job_id = queue.next_urgent(now, policy.urgent_ms)
             urgent = job_id is not None
             if job_id is None:
-                job_id = queue.fair()
+                job_id = queue.next_fair()
             if job_id is None:
                 break
-            queue.take(now, job_id, urgent)
+            queue.charge(now, job_id, urgent)
             items_by_job[job_id] = items_by_job.get(job_id, 0) + 1
         return items_by_job
 
 
 @BATCH_ORDERS.register("first_come")
-class FirstCome(_Items):
+class FirstComeFirstServed(_ItemRetries):
     """Baseline: first come first served."""
 
     def __init__(self, policy: BatchOrderPolicy, rng: random.Random):
--- a/dahliashunt/decisions/batch_places.py
+++ b/dahliashunt/decisions/batch_places.py
@@ -17,14 +17,14 @@
 
 
 @dataclass(slots=True)
-class _Place:
+class _Capacity:
     models: frozenset[ModelId]
     room: int
     sent: int = 0
     in_flight: int = 0
 
     @property
-    def left(self):
+    def free(self):
         return self.room - self.sent
 
 
@@ -39,17 +39,17 @@
     """
 
     def __init__(self):
-        self._by_endpoint: dict[EndpointId, _Place] = {}
+        self._by_endpoint: dict[EndpointId, _Capacity] = {}
 
     def report(self, report: EndpointReport) -> None:
         """Take an agent's report."""
-        place = self._by_endpoint.get(report.endpoint_id)
-        if place is None:
-            place = _Place(report.models, 0)
-            self._by_endpoint[report.endpoint_id] = place
-        place.models = report.models
-        place.room = report.batch_room
-        place.sent = 0
+        capacity = self._by_endpoint.get(report.endpoint_id)
+        if capacity is None:
+            capacity = _Capacity(report.models, 0)
+            self._by_endpoint[report.endpoint_id] = capacity
+        capacity.models = report.models
+        capacity.room = report.batch_room
+        capacity.sent = 0
 
     def gone(self, endpoint_id: EndpointId) -> None:
         """Stop sending to an endpoint."""
@@ -58,29 +58,29 @@
     def choose(self, model: ModelId) -> EndpointId | None:
         """Return the endpoint with the most room for `model`, or None."""
         best = None
-        best_left = 0
-        for endpoint_id, place in self._by_endpoint.items():
-            if model in place.models and place.left > best_left:
-                best, best_left = endpoint_id, place.left
+        best_free = 0
+        for endpoint_id, capacity in self._by_endpoint.items():
+            if model in capacity.models and capacity.free > best_free:
+                best, best_free = endpoint_id, capacity.free
         return best
 
     def sent(self, endpoint_id: EndpointId) -> None:
         """Count an item that was sent."""
-        place = self._by_endpoint[endpoint_id]
-        place.sent += 1
-        place.in_flight += 1
+        capacity = self._by_endpoint[endpoint_id]
+        capacity.sent += 1
+        capacity.in_flight += 1
 
     def ended(self, endpoint_id: EndpointId) -> None:
         """Count an item that has ended; its place is free at once."""
-        place = self._by_endpoint.get(endpoint_id)
-        if place is not None and place.in_flight > 0:
-            place.in_flight -= 1
-            place.sent -= 1
+        capacity = self._by_endpoint.get(endpoint_id)
+        if capacity is not None and capacity.in_flight > 0:
+            capacity.in_flight -= 1
+            capacity.sent -= 1
 
     def room_by_model(self) -> dict[ModelId, int]:
         """Return how many items each model's endpoints would take now."""
         room: dict[ModelId, int] = {}
-        for place in self._by_endpoint.values():
-            for model in place.models:
-                room[model] = room.get(model, 0) + max(0, place.left)
+        for capacity in self._by_endpoint.values():
+            for model in capacity.models:
+                room[model] = room.get(model, 0) + max(0, capacity.free)
         return room
--- a/dahliashunt/decisions/batch_queue.py
+++ b/dahliashunt/decisions/batch_queue.py
@@ -17,11 +17,11 @@
 
 # The rate of a model is averaged over about a minute: longer than a burst
 # of online work, shorter than the time in which laxity matters.
-_RATE_MS = 60_000.0
+_RATE_WINDOW_MS = 60_000.0
 # The part that urgent jobs had is averaged over about this many grants.
 _URGENT_WEIGHT = 0.01
-_STALE = 4
-_STALE_LEAST = 64
+_HEAP_ENTRIES_PER_JOB = 4
+_MIN_HEAP_ENTRIES = 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class _Job:
-    shape: JobShape
+    demand: JobShape
     left: int
     version: int
     served: float = 0.0
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class _Caller:
-    virtual: float
+    virtual_time: float
     grants: int = 0
     by_start: list = field(default_factory=list)
     by_served: list = field(default_factory=list)
@@ -75,13 +75,18 @@
     ----------
     rate_prior : float
         Tokens a second until grants were seen.
-    last_items, fair_every : int
+    nearly_done_items, least_served_every : int
         See `BatchOrderPolicy`.
     """
 
-    def __init__(self, rate_prior: float, last_items: int, fair_every: int):
-        self._last_items = last_items
-        self._fair_every = fair_every
+    def __init__(
+        self,
+        rate_prior: float,
+        nearly_done_items: int,
+        least_served_every: int,
+    ):
+        self._nearly_done_items = nearly_done_items
+        self._least_served_every = least_served_every
         self._rate = rate_prior / 1000
         self._rate_at_ms: int | None = None
         self._rate_tokens = 0.0
@@ -89,26 +94,30 @@
         self._callers_by_id: dict[CallerId, _Caller] = {}
         self._by_start: list = []
         self._by_virtual: list = []
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._version = 0
-        self.urgent_part = 0.0
+        self.urgent_fraction = 0.0
 
     def __bool__(self) -> bool:
         return bool(self._jobs_by_id)
 
-    def put(self, shape: JobShape) -> None:
+    def put(self, demand: JobShape) -> None:
         """Add a job, or set what is left of it."""
-        known = self._jobs_by_id.get(shape.job_id)
-        if known and known.shape == shape and known.left == shape.items_left:
+        known = self._jobs_by_id.get(demand.job_id)
+        if (
+            known
+            and known.demand == demand
+            and known.left == demand.items_left
+        ):
             return
-        served = known.served if known else self._least_served(shape.caller)
-        job = _Job(shape, shape.items_left, 0, served)
-        self._jobs_by_id[shape.job_id] = job
-        caller = self._callers_by_id.get(shape.caller)
+        served = known.served if known else self._min_served(demand.caller)
+        job = _Job(demand, demand.items_left, 0, served)
+        self._jobs_by_id[demand.job_id] = job
+        caller = self._callers_by_id.get(demand.caller)
         if caller is None:
-            caller = _Caller(self._virtual)
-            self._callers_by_id[shape.caller] = caller
-        caller.jobs.add(shape.job_id)
+            caller = _Caller(self._virtual_time)
+            self._callers_by_id[demand.caller] = caller
+        caller.jobs.add(demand.job_id)
         self._push(job, caller)
         self._compact(caller)
 
@@ -117,55 +126,60 @@
         job = self._jobs_by_id.pop(job_id, None)
         if job is None:
             return
-        caller = self._callers_by_id[job.shape.caller]
+        caller = self._callers_by_id[job.demand.caller]
         caller.jobs.discard(job_id)
         # A caller who is ahead of the others stays known, else it would
         # come back with a fresh share after each small job.
-        if not caller.jobs and caller.virtual <= self._virtual:
-            del self._callers_by_id[job.shape.caller]
+        if not caller.jobs and caller.virtual_time <= self._virtual_time:
+            del self._callers_by_id[job.demand.caller]
 
-    def urgent(self, now: int, urgent_ms: int) -> JobId | None:
+    def next_urgent(self, now: int, urgent_ms: int) -> JobId | None:
         """Return the job nearest to its latest start, if that is near."""
         heap = self._by_start
         while heap:
             start, version, job_id = heap[0]
-            job = self._live(job_id, version)
-            if job is None or job.shape.due_ms <= now:
+            job = self._live_job(job_id, version)
+            if job is None or job.demand.due_ms <= now:
                 heapq.heappop(heap)
                 continue
             return job_id if start <= now + urgent_ms else None
         return None
 
-    def fair(self) -> JobId | None:
+    def next_fair(self) -> JobId | None:
         """Return the next job of the caller who had least."""
         heap = self._by_virtual
         while heap:
-            virtual, caller_id = heap[0]
+            virtual_time, caller_id = heap[0]
             caller = self._callers_by_id.get(caller_id)
-            job_id = self._next_of(caller) if caller else None
+            job_id = self._next_job_of(caller) if caller else None
             if caller is None or job_id is None:
                 heapq.heappop(heap)
                 if caller is not None:
                     caller.queued = False
                 continue
-            if virtual < caller.virtual:
-                heapq.heapreplace(heap, (caller.virtual, caller_id))
+            if virtual_time < caller.virtual_time:
+                heapq.heapreplace(heap, (caller.virtual_time, caller_id))
                 continue
             return job_id
         return None
 
-    def take(self, now: int, job_id: JobId, urgent: bool) -> None:
+    def charge(self, now: int, job_id: JobId, urgent: bool) -> None:
         """Charge one item of the job that is sent."""
         job = self._jobs_by_id[job_id]
-        caller = self._callers_by_id[job.shape.caller]
-        tokens = max(1, job.shape.item_tokens)
-        self._virtual = max(self._virtual, min(caller.virtual, self._least()))
-        caller.virtual += tokens / job.shape.weight
+        caller = self._callers_by_id[job.demand.caller]
+        tokens = max(1, job.demand.item_tokens)
+        self._virtual_time = max(
+            self._virtual_time,
+            min(caller.virtual_time, self._min_virtual_time()),
+        )
+        caller.virtual_time += tokens / job.demand.weight
         caller.grants += 1
-        job.served += tokens / job.shape.weight
+        job.served += tokens / job.demand.weight
         job.left -= 1
-        self.urgent_part += _URGENT_WEIGHT * (urgent - self.urgent_part)
-        self._learn_rate(now, tokens)
+        self.urgent_fraction += _URGENT_WEIGHT * (
+            urgent - self.urgent_fraction
+        )
+        self._update_rate(now, tokens)
         self._push(job, caller)
 
     def _push(self, job: _Job, caller: _Caller) -> None:
@@ -173,20 +187,22 @@
         job.version = self._version
         if job.left <= 0:
             return
-        shape = job.shape
-        needed_ms = job.left * shape.item_tokens / self._rate
-        start = shape.due_ms - needed_ms
-        last = job.left > self._last_items
-        entry = (start, job.version, shape.job_id)
+        demand = job.demand
+        needed_ms = job.left * demand.item_tokens / self._rate
+        start = demand.due_ms - needed_ms
+        is_large = job.left > self._nearly_done_items
+        entry = (start, job.version, demand.job_id)
         heapq.heappush(self._by_start, entry)
-        heapq.heappush(caller.by_start, (last, *entry))
+        heapq.heappush(caller.by_start, (is_large, *entry))
         heapq.heappush(
-            caller.by_served, (job.served, job.version, shape.job_id)
+            caller.by_served, (job.served, job.version, demand.job_id)
         )
         if not caller.queued:
             caller.queued = True
-            caller.virtual = max(caller.virtual, self._virtual)
-            heapq.heappush(self._by_virtual, (caller.virtual, shape.caller))
+            caller.virtual_time = max(caller.virtual_time, self._virtual_time)
+            heapq.heappush(
+                self._by_virtual, (caller.virtual_time, demand.caller)
+            )
 
     def _compact(self, caller: _Caller) -> None:
         """Rebuild heaps that hold mostly stale entries.
@@ -194,51 +210,63 @@
         Stale entries leave when they come to the top; updates of jobs far
         from it would let them pile up without bound.
         """
-        most = _STALE * len(caller.jobs) + _STALE_LEAST
-        if len(caller.by_start) > most or len(caller.by_served) > most:
-            caller.by_start = self._only_live(caller.by_start)
-            caller.by_served = self._only_live(caller.by_served)
-        most = _STALE * len(self._jobs_by_id) + _STALE_LEAST
-        if len(self._by_start) > most:
-            self._by_start = self._only_live(self._by_start)
-
-    def _only_live(self, heap: list) -> list:
-        live = [e for e in heap if self._live(e[-1], e[-2]) is not None]
+        max_entries = (
+            _HEAP_ENTRIES_PER_JOB * len(caller.jobs) + _MIN_HEAP_ENTRIES
+        )
+        if (
+            len(caller.by_start) > max_entries
+            or len(caller.by_served) > max_entries
+        ):
+            caller.by_start = self._live_entries(caller.by_start)
+            caller.by_served = self._live_entries(caller.by_served)
+        max_entries = (
+            _HEAP_ENTRIES_PER_JOB * len(self._jobs_by_id) + _MIN_HEAP_ENTRIES
+        )
+        if len(self._by_start) > max_entries:
+            self._by_start = self._live_entries(self._by_start)
+
+    def _live_entries(self, heap: list) -> list:
+        live = [e for e in heap if self._live_job(e[-1], e[-2]) is not None]
         heapq.heapify(live)
         return live
 
-    def _next_of(self, caller: _Caller) -> JobId | None:
-        turn = caller.grants % self._fair_every == self._fair_every - 1
-        heap = caller.by_served if turn else caller.by_start
+    def _next_job_of(self, caller: _Caller) -> JobId | None:
+        least_served_turn = (
+            caller.grants % self._least_served_every
+            == self._least_served_every - 1
+        )
+        heap = caller.by_served if least_served_turn else caller.by_start
         while heap:
             version, job_id = heap[0][-2:]
-            if self._live(job_id, version) is not None:
+            if self._live_job(job_id, version) is not None:
                 return job_id
             heapq.heappop(heap)
         return None
 
-    def _live(self, job_id: JobId, version: int) -> _Job | None:
+    def _live_job(self, job_id: JobId, version: int) -> _Job | None:
         job = self._jobs_by_id.get(job_id)
         if job is None or job.version != version or job.left <= 0:
             return None
         return job
 
-    def _least(self) -> float:
-        return self._by_virtual[0][0] if self._by_virtual else self._virtual
+    def _min_virtual_time(self) -> float:
+        return (
+            self._by_virtual[0][0] if self._by_virtual else self._virtual_time
+        )
 
-    def _least_served(self, caller_id: CallerId) -> float:
+    def _min_served(self, caller_id: CallerId) -> float:
         caller = self._callers_by_id.get(caller_id)
         if caller is None:
             return 0.0
         jobs = (self._jobs_by_id[j].served for j in caller.jobs)
         return min(jobs, default=0.0)
 
-    def _learn_rate(self, now: int, tokens: int) -> None:
+    def _update_rate(self, now: int, tokens: int) -> None:
         if self._rate_at_ms is None:
             self._rate_at_ms = now
         elapsed = now - self._rate_at_ms
         if elapsed >= 1_000:
-            weight = min(1.0, elapsed / _RATE_MS)
+            weight = min(1.0, elapsed / _RATE_WINDOW_MS)
             seen = self._rate_tokens / elapsed
             self._rate += weight * (seen - self._rate)
             self._rate = max(self._rate, 1e-3)
--- a/dahliashunt/decisions/gate.py
+++ b/dahliashunt/decisions/gate.py
@@ -35,15 +35,15 @@
 from dahliashunt.decisions.tail import TailBound
 from dahliashunt.ports.engine import EngineLoad
 
-__all__ = ["NOTHING", "IdleCapacity", "Shortfall"]
+__all__ = ["NO_SHORTFALL", "IdleCapacity", "Shortfall"]
 
 # KV cache that every running stream is expected to grow by before the gate
 # looks again: some steps, since it looks once a step.
 _GROWTH_TOKENS = 4
 # Part of the mean answer by which the online streams together may still
 # grow: as some grow others end, so that it is less than the whole.
-_ONLINE_GROWTH = 0.65
-_SLOT_BACK_MS = 1_000
+_ONLINE_GROWTH_RATIO = 0.65
+_SLOT_RAISE_INTERVAL_MS = 1_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
         return self.slots > 0 or self.kv_tokens > 0 or self.step_ms > 0
 
 
-NOTHING = Shortfall()
+NO_SHORTFALL = Shortfall()
 """No shortfall."""
 
 
@@ -89,20 +89,22 @@
         self.kv_total = policy.kv_total_tokens
         self.answer_tokens = 0.0
         self.quiet = True
-        self._online_ms: int | None = None
-        self._bulk_ms: int | None = None
-        self._slot_back_ms = 0
-        self._most_seen = 0
+        self._last_online_ms: int | None = None
+        self._stall_charged_ms: int | None = None
+        self._next_slot_raise_ms = 0
+        self._max_running_seen = 0
 
-    def look(self, now: int, occupancy: Occupancy) -> None:
+    def update_activity(self, now: int, occupancy: Occupancy) -> None:
         """Note whether online work runs; it is quiet some time after."""
         if occupancy.online:
-            self._online_ms = now
+            self._last_online_ms = now
             self.quiet = False
-        elif self._online_ms is not None:
-            self.quiet = now >= self._online_ms + self.policy.quiet_ms
+        elif self._last_online_ms is not None:
+            self.quiet = now >= self._last_online_ms + self.policy.quiet_ms
 
-    def reported(self, now: int, load: EngineLoad, queueing: bool) -> None:
+    def update_limits(
+        self, now: int, load: EngineLoad, queueing: bool
+    ) -> None:
         """Learn memory and slots from the engine's lagging report.
 
         Streams that wait inside the engine mean that it runs fewer than
@@ -119,17 +121,17 @@
         """
         if load.kv_total_tokens > 0:
             self.kv_total = load.kv_total_tokens
-        self._most_seen = max(self._most_seen, load.running)
+        self._max_running_seen = max(self._max_running_seen, load.running)
         self.max_running = max(self.max_running, load.running)
         if load.waiting > 0 and queueing:
-            if load.running >= self._most_seen:
+            if load.running >= self._max_running_seen:
                 self.max_running = max(1, load.running)
-        elif now >= self._slot_back_ms:
+        elif now >= self._next_slot_raise_ms:
             self.max_running += 1
         else:
             return
         self.max_running = min(self.max_running, self.policy.max_running)
-        self._slot_back_ms = now + _SLOT_BACK_MS
+        self._next_slot_raise_ms = now + _SLOT_RAISE_INTERVAL_MS
 
     def step_bound(self, occupancy: Occupancy) -> float:
         """Return the longest step that batch may cause."""
@@ -147,7 +149,7 @@
             return True
         # Answers still grow. Without room for it the engine throws an
         # online stream out and computes it again: its caller sees a gap.
-        growth = _ONLINE_GROWTH * self.answer_tokens * (online + 1)
+        growth = _ONLINE_GROWTH_RATIO * self.answer_tokens * (online + 1)
         needed = stream.kv_tokens + growth
         if occupancy.kv_online + needed > self.kv_total:
             return True
@@ -156,58 +158,58 @@
         )
         return step > self.policy.token_gap_target_ms
 
-    def online_short(
+    def online_shortfall(
         self, streams: tuple[Stream, ...], occupancy: Occupancy
     ) -> Shortfall:
         """Return what batch must free before the streams can start."""
         slots = occupancy.running + len(streams) - self.max_running
         needed = sum(stream.kv_tokens for stream in streams)
-        kv = self._kv_over(needed, occupancy, 0.0)
+        kv = self._kv_excess(needed, occupancy, 0.0)
         if slots <= 0 and kv <= 0:
-            return NOTHING
+            return NO_SHORTFALL
         return Shortfall(max(0, slots), max(0, kv))
 
     def excess(self, occupancy: Occupancy) -> Shortfall:
         """Return what batch must give back now."""
         batch = occupancy.batch - occupancy.stopping
         if batch <= 0:
-            return NOTHING
+            return NO_SHORTFALL
         step = 0.0
         if occupancy.online:
-            step = self._step(occupancy, 0, 0)
+            step = self._predict_step(occupancy, 0, 0)
             bound = self.step_bound(occupancy)
             if step <= bound * self.policy.stop_mark:
                 step = 0.0
             else:
                 step -= bound
         slots = occupancy.running - occupancy.stopping - self.max_running
-        kv = self._kv_over(0, occupancy, 0.0) - occupancy.kv_stopping
+        kv = self._kv_excess(0, occupancy, 0.0) - occupancy.kv_stopping
         if step <= 0 and slots <= 0 and kv <= 0:
-            return NOTHING
+            return NO_SHORTFALL
         return Shortfall(max(0, slots), max(0, kv), max(0.0, step))
 
-    def batch_closed(self, occupancy: Occupancy) -> bool:
+    def batch_blocked(self, occupancy: Occupancy) -> bool:
         """Return whether not even the smallest batch stream may start."""
         policy = self.policy
         if occupancy.running + 1 > self.max_running - policy.reserve_slots:
             return True
         bound = self.step_bound(occupancy) * policy.resume_mark
-        return self._step(occupancy, 1, 0) > bound
+        return self._predict_step(occupancy, 1, 0) > bound
 
     def batch_fits(
         self, now: int, stream: Stream, occupancy: Occupancy
     ) -> bool:
         """Return whether the batch stream may start now.
 
-        Asked after `batch_closed`, and again after each start.
+        Asked after `batch_blocked`, and again after each start.
         """
         policy = self.policy
         if occupancy.running + 1 > self.max_running - policy.reserve_slots:
             return False
-        if self._kv_over(stream.kv_tokens, occupancy, policy.kv_reserve) > 0:
+        if self._kv_excess(stream.kv_tokens, occupancy, policy.kv_reserve) > 0:
             return False
         bound = self.step_bound(occupancy) * policy.resume_mark
-        if self._step(occupancy, 1, stream.kv_tokens) > bound:
+        if self._predict_step(occupancy, 1, stream.kv_tokens) > bound:
             return False
         return self._prefill_fits(now, stream, occupancy)
 
@@ -215,13 +217,13 @@
         self, now: int, stream: Stream, occupancy: Occupancy
     ) -> None:
         """Charge a stall by batch prompts to what is allowed."""
-        if not occupancy.online or self._bulk_ms == now:
+        if not occupancy.online or self._stall_charged_ms == now:
             return
-        if not self._stall_within(stream, occupancy):
-            self._bulk_ms = now
+        if not self._stall_fits(stream, occupancy):
+            self._stall_charged_ms = now
             self.tail.exceeds()
 
-    def usual_prompt_tokens(self) -> float:
+    def short_prompt_tokens(self) -> float:
         """Return the longest prompt that stalls a step only as usual."""
         cost = max(self.model.prefill_ms_per_token, 1e-6)
         return self.policy.prefill_stall_ms / cost
@@ -231,24 +233,28 @@
         policy = self.policy
         slots = self.max_running - policy.reserve_slots - occupancy.running
         bound = self.step_bound(occupancy) * policy.resume_mark
-        spare_ms = bound - self._step(occupancy, 0, 0)
+        spare_ms = bound - self._predict_step(occupancy, 0, 0)
         cost = self.model.per_stream_ms
         cost += self.model.per_kv_ms * stream_kv / 1000
         by_step = spare_ms / max(cost, 0.01)
-        free = -self._kv_over(0, occupancy, policy.kv_reserve)
+        free = -self._kv_excess(0, occupancy, policy.kv_reserve)
         by_kv = free / max(1, stream_kv)
         return max(0, int(min(slots, by_step, by_kv)))
 
-    def _step(self, occupancy: Occupancy, more: int, kv: int) -> float:
-        running = occupancy.running - occupancy.stopping + more
+    def _predict_step(
+        self, occupancy: Occupancy, extra_streams: int, kv: int
+    ) -> float:
+        running = occupancy.running - occupancy.stopping + extra_streams
         return self.model.predict(
             running, occupancy.kv - occupancy.kv_stopping + kv
         )
 
-    def _kv_over(self, more: int, occupancy: Occupancy, reserve: float) -> int:
+    def _kv_excess(
+        self, extra_kv: int, occupancy: Occupancy, reserve: float
+    ) -> int:
         growth = _GROWTH_TOKENS * (occupancy.running + 1)
         total = int(self.kv_total * (1 - reserve))
-        return occupancy.kv + more + growth - total
+        return occupancy.kv + extra_kv + growth - total
 
     def _prefill_fits(
         self, now: int, stream: Stream, occupancy: Occupancy
@@ -264,19 +270,19 @@
                 return alone or stall <= most
             # One long prompt may run by itself, else it never would.
             return pending == 0 or stall <= policy.quiet_prefill_ms
-        if self._stall_within(stream, occupancy):
+        if self._stall_fits(stream, occupancy):
             return True
         if stall > policy.long_stall_ms:
             fits = pending == 0 and stall <= policy.longest_stall_ms
             return fits and self.tail.may_exceed()
         # Prompts that are sent together are computed in one step.
-        if self._bulk_ms == now:
+        if self._stall_charged_ms == now:
             return True
         return pending == 0 and self.tail.may_exceed()
 
-    def _stall_within(self, stream: Stream, occupancy: Occupancy) -> bool:
+    def _stall_fits(self, stream: Stream, occupancy: Occupancy) -> bool:
         prompts = occupancy.prefill_batch + stream.prefill
         stall = prompts * self.model.prefill_ms_per_token
-        step = self._step(occupancy, 1, stream.kv_tokens)
+        step = self._predict_step(occupancy, 1, stream.kv_tokens)
         spare = self.tail.target_ms - step
         return stall <= min(self.policy.prefill_stall_ms, spare)
--- a/dahliashunt/decisions/gates.py
+++ b/dahliashunt/decisions/gates.py
@@ -5,7 +5,7 @@
 """
 
 from dahliashunt.decisions.gate import IdleCapacity
-from dahliashunt.decisions.gate import NOTHING
+from dahliashunt.decisions.gate import NO_SHORTFALL
 from dahliashunt.decisions.gate import Shortfall
 from dahliashunt.decisions.registry import Registry
 from dahliashunt.decisions.streams import Occupancy
@@ -27,7 +27,7 @@
 
     def excess(self, occupancy: Occupancy) -> Shortfall:
         """Return that nothing is to be given back."""
-        return NOTHING
+        return NO_SHORTFALL
 
 
 @GATES.register("fixed_split")
@@ -42,17 +42,17 @@
         kv = occupancy.kv + stream.kv_tokens
         return occupancy.online >= slots or kv > self.kv_total
 
-    def online_short(
+    def online_shortfall(
         self, streams: tuple[Stream, ...], occupancy: Occupancy
     ) -> Shortfall:
         """Return that batch never gives way."""
-        return NOTHING
+        return NO_SHORTFALL
 
     def excess(self, occupancy: Occupancy) -> Shortfall:
         """Return that batch never gives way."""
-        return NOTHING
+        return NO_SHORTFALL
 
-    def batch_closed(self, occupancy: Occupancy) -> bool:
+    def batch_blocked(self, occupancy: Occupancy) -> bool:
         """Return whether batch's part is full."""
         return occupancy.batch >= self.policy.fixed_batch_slots
 
@@ -77,7 +77,7 @@
         """Return that nothing waits here."""
         return False
 
-    def batch_closed(self, occupancy: Occupancy) -> bool:
+    def batch_blocked(self, occupancy: Occupancy) -> bool:
         """Return that nothing waits here."""
         return False
 
--- a/dahliashunt/decisions/model_state.py
+++ b/dahliashunt/decisions/model_state.py
@@ -11,10 +11,10 @@
 
 __all__ = ["ModelState"]
 
-_LEARN = 0.1
+_EWMA_WEIGHT = 0.1
 """Weight of one new sample in a moving average."""
 
-_FORGET = 1.0005
+_MIN_GROWTH = 1.0005
 """Growth of the least time a sample: double in 1,400 first tokens."""
 
 
@@ -28,12 +28,12 @@
         self.discipline = DISCIPLINES.get(policy.queueing)(policy)
         self.in_flight = 0
         self._service_ms = 0.0
-        self._least_ms = float("inf")
-        self._speed = 0.0
-        self._speed_dev = 0.0
-        self._output = float(policy.default_output_tokens)
-        self._turned_away = 0.0
-        self._turned_away_ms = 0
+        self._min_ms_per_token = float("inf")
+        self._ms_per_token = 0.0
+        self._ms_per_token_dev = 0.0
+        self._mean_output_tokens = float(policy.default_output_tokens)
+        self._virtual_queue = 0.0
+        self._virtual_queue_ms = 0
 
     def cost(self, prompt_tokens: int, max_tokens: int) -> float:
         """Return what a request is expected to cost."""
@@ -41,7 +41,7 @@
 
     def output(self, max_tokens: int) -> float:
         """Return how many tokens an answer is expected to have."""
-        return min(max_tokens, self._output)
+        return min(max_tokens, self._mean_output_tokens)
 
     def cost_of(self, prompt_tokens: int, output_tokens: float) -> float:
         """Return the cost of a prompt and an answer."""
@@ -59,7 +59,7 @@
         service = self._service_ms or self._policy.default_service_ms
         return Drain(
             max(1, self.in_flight) / service,
-            self._speed + 2 * self._speed_dev,
+            self._ms_per_token + 2 * self._ms_per_token_dev,
         )
 
     def first_token(
@@ -71,24 +71,30 @@
         is forgotten slowly, so that a model that became slower is learned.
         """
         tokens = uncached + OVERHEAD_TOKENS
-        self._least_ms = min(self._least_ms * _FORGET, ms / tokens)
-        self._learn_speed(ms / (prompt_tokens + OVERHEAD_TOKENS))
-        return self._least_ms * tokens
+        self._min_ms_per_token = min(
+            self._min_ms_per_token * _MIN_GROWTH, ms / tokens
+        )
+        self._update_ms_per_token(ms / (prompt_tokens + OVERHEAD_TOKENS))
+        return self._min_ms_per_token * tokens
 
-    def _learn_speed(self, speed: float) -> None:
-        if not self._speed:
-            self._speed = speed
+    def _update_ms_per_token(self, ms_per_token: float) -> None:
+        if not self._ms_per_token:
+            self._ms_per_token = ms_per_token
             return
-        off = speed - self._speed
-        self._speed += _LEARN * off
-        self._speed_dev += _LEARN * (abs(off) - self._speed_dev)
+        error = ms_per_token - self._ms_per_token
+        self._ms_per_token += _EWMA_WEIGHT * error
+        self._ms_per_token_dev += _EWMA_WEIGHT * (
+            abs(error) - self._ms_per_token_dev
+        )
 
     def done(self, ms: float, tokens: int) -> None:
         """Learn from a request that ended well."""
         if not self._service_ms:
             self._service_ms = max(1.0, ms)
-        self._service_ms += _LEARN * (max(1.0, ms) - self._service_ms)
-        self._output += _LEARN * (tokens - self._output)
+        self._service_ms += _EWMA_WEIGHT * (max(1.0, ms) - self._service_ms)
+        self._mean_output_tokens += _EWMA_WEIGHT * (
+            tokens - self._mean_output_tokens
+        )
 
     def retry_after(
         self, now: int, excess_ms: float, rng: random.Random
@@ -101,9 +107,9 @@
         """
         policy = self._policy
         rate = self.drain().per_ms
-        drained = (now - self._turned_away_ms) * rate
-        self._turned_away = max(0.0, self._turned_away - drained) + 1
-        self._turned_away_ms = now
-        wait = max(0.0, excess_ms) + self._turned_away / rate
+        drained = (now - self._virtual_queue_ms) * rate
+        self._virtual_queue = max(0.0, self._virtual_queue - drained) + 1
+        self._virtual_queue_ms = now
+        wait = max(0.0, excess_ms) + self._virtual_queue / rate
         wait = max(policy.retry_after_min_ms, wait) * rng.uniform(0.75, 1.25)
         return int(min(wait, policy.retry_after_max_ms * rng.uniform(0.75, 1)))
--- a/dahliashunt/decisions/preemption.py
+++ b/dahliashunt/decisions/preemption.py
@@ -58,21 +58,21 @@
     """Return the loss in ms of engine time and the way that loses least."""
     per_prefill = model.prefill_ms_per_token
     prompt_ms = stream.work.prompt_tokens * per_prefill
-    done_ms = stream.done * model.per_stream_ms
-    ways = [(prompt_ms + done_ms, PreemptHow.RESTART)]
+    done_ms = stream.generated_tokens * model.per_stream_ms
+    options = [(prompt_ms + done_ms, PreemptHow.RESTART)]
     if policy.engine_resumes:
         again = stream.kv_tokens * per_prefill
         cost = again if policy.resume_recomputes else 0.0
-        ways.append((cost, PreemptHow.RESUME))
-    if policy.engine_exports_kv and stream.ran_tokens > 0:
+        options.append((cost, PreemptHow.RESUME))
+    if policy.engine_exports_kv and stream.tokens_since_start > 0:
         moved = stream.kv_tokens * policy.kv_move_ms_per_1000 / 1000
-        ways.append((moved, PreemptHow.EXPORT_KV))
-    return min(ways, key=lambda way: way[0])
+        options.append((moved, PreemptHow.EXPORT_KV))
+    return min(options, key=lambda option: option[0])
 
 
 def choose_stops(
     running: Iterable[Stream],
-    short: Shortfall,
+    shortfall: Shortfall,
     policy: AgentPolicy,
     model: StepModel,
 ) -> list[Preempt]:
@@ -82,7 +82,7 @@
     ----------
     running : iterable of Stream
         Batch streams in the engine that are not being stopped yet.
-    short : Shortfall
+    shortfall : Shortfall
         What must be freed; where it can't be, all are chosen.
 
     Returns
@@ -91,11 +91,11 @@
         Least loss first.
     """
     ranked = sorted(
-        (_ranked(stream, short, policy, model) for stream in running),
+        (_rank(stream, shortfall, policy, model) for stream in running),
         key=lambda entry: entry[0],
     )
     stops = []
-    slots, kv, step = short.slots, short.kv_tokens, short.step_ms
+    slots, kv, step = shortfall.slots, shortfall.kv_tokens, shortfall.step_ms
     for _, how, stream in ranked:
         if slots <= 0 and kv <= 0 and step <= 0:
             break
@@ -106,12 +106,12 @@
     return stops
 
 
-def _ranked(stream, short, policy, model):
+def _rank(stream, shortfall, policy, model):
     loss, how = cheapest_stop(stream, policy, model)
     freed = 1.0
-    if short.kv_tokens > 0:
+    if shortfall.kv_tokens > 0:
         freed = float(stream.kv_tokens)
-    elif short.step_ms > 0:
+    elif shortfall.step_ms > 0:
         freed = _step_freed(stream, model)
     rank = loss * (1 + stream.preemptions) / max(freed, 1e-6)
     return rank, how, stream
--- a/dahliashunt/decisions/running.py
+++ b/dahliashunt/decisions/running.py
@@ -24,14 +24,14 @@
 from dahliashunt.decisions.tail import TailBound
 from dahliashunt.ids import AttemptId
 
-__all__ = ["Running"]
+__all__ = ["RunningStreams"]
 
 # A stream is taken for queued in the engine after this multiple of the
 # step and prefill that it must wait for in any case.
-_PATIENCE = 2.0
+_QUEUED_AFTER_RATIO = 2.0
 
 
-class Running:
+class RunningStreams:
     """Streams in the engine, with their sums and the learnt step model."""
 
     def __init__(self, policy: AgentPolicy, model: StepModel, tail: TailBound):
@@ -61,16 +61,16 @@
     def progress(self, now: int, stream: Stream, count: int) -> bool:
         """Count tokens; return whether a step or a prompt is complete."""
         occupancy = self.occupancy
-        stream.done += count
-        stream.ran_tokens += count
-        occupancy.grew(stream, count)
+        stream.generated_tokens += count
+        stream.tokens_since_start += count
+        occupancy.add_tokens(stream, count)
         attempt_id = stream.work.attempt_id
         if stream.state is StreamState.DECODING:
             gap = self._observer.tokens(now, attempt_id, count, occupancy)
             if gap is not None:
                 self._tail.step(gap, occupancy)
             return gap is not None
-        occupancy.prefilled(stream)
+        occupancy.finish_prefill(stream)
         del self._prefilling_by_id[attempt_id]
         stream.state = StreamState.DECODING
         self._observer.first_token(
@@ -78,13 +78,13 @@
         )
         return True
 
-    def left(self, stream: Stream) -> None:
+    def remove(self, stream: Stream) -> None:
         """Count the stream out; the engine is done with it."""
         if stream.state is StreamState.PREFILL:
             self._observer.abandoned()
             del self._prefilling_by_id[stream.work.attempt_id]
         self.occupancy.remove(stream)
-        self._observer.gone(stream.work.attempt_id)
+        self._observer.stopped_decoding(stream.work.attempt_id)
         self._batch_by_id.pop(stream.work.attempt_id, None)
         if self.alone is stream:
             self.alone = None
@@ -102,16 +102,16 @@
         step = self._model.predict(occupancy.running, occupancy.kv)
         prompts = occupancy.prefill_online + occupancy.prefill_batch
         stall = prompts * self._model.prefill_ms_per_token
-        patience = _PATIENCE * (step + stall)
-        return oldest.started_ms < now - age_ms - patience
+        max_wait = _QUEUED_AFTER_RATIO * (step + stall)
+        return oldest.started_ms < now - age_ms - max_wait
 
-    def stop(self, short: Shortfall) -> list[Preempt]:
+    def stop(self, shortfall: Shortfall) -> list[Preempt]:
         """Stop the batch streams whose end makes good the shortfall."""
         stops = choose_stops(
-            self._unstopped(), short, self._policy, self._model
+            self._unstopped(), shortfall, self._policy, self._model
         )
         for stop in stops:
-            self._mark(self._batch_by_id[stop.attempt_id], stop)
+            self._mark_stopping(self._batch_by_id[stop.attempt_id], stop)
         return stops
 
     def stop_all(self) -> list[Preempt]:
@@ -120,7 +120,7 @@
         for stream in self._unstopped():
             _, how = cheapest_stop(stream, self._policy, self._model)
             stops.append(Preempt(stream.work.attempt_id, how))
-            self._mark(stream, stops[-1])
+            self._mark_stopping(stream, stops[-1])
         return stops
 
     def _unstopped(self) -> list[Stream]:
@@ -130,6 +130,6 @@
             if stream.stopping is None
         ]
 
-    def _mark(self, stream: Stream, stop: Preempt) -> None:
+    def _mark_stopping(self, stream: Stream, stop: Preempt) -> None:
         stream.stopping = stop.how
         self.occupancy.stop(stream)
--- a/dahliashunt/decisions/step_model.py
+++ b/dahliashunt/decisions/step_model.py
@@ -34,20 +34,20 @@
 
 # Half of a sample's weight is gone after about 1400 steps (30 to 60 s),
 # which follows a change of model and still averages the 1 ms clock.
-_FORGET = 0.9995
+_FORGETTING_FACTOR = 0.9995
 # The prior counts like a handful of samples.
 _PRIOR = (15.0, 0.4, 0.1)
 _PRIOR_COVARIANCE = (50.0, 0.05, 0.05)
 # A pause of the agent looks like one long step. A sample pulls the model
 # by no more than this multiple of the usual error (Huber's bound), whose
 # estimate grows within some tens of samples when the engine really changed.
-_OUTLIER = 4.0
+_MAX_ERROR_RATIO = 4.0
 _ERROR_WEIGHT = 0.02
-_LEAST_ERROR_MS = 0.5
-_LEAST_STEP_MS = 1.0
+_MIN_ERROR_MS = 0.5
+_MIN_STEP_MS = 1.0
 _PREFILL_PRIOR_MS = 0.05
 _PREFILL_PRIOR_TOKENS = 200.0
-_PREFILL_FORGET = 0.98
+_PREFILL_FORGETTING_FACTOR = 0.98
 
 
 @dataclass(slots=True)
@@ -73,19 +73,19 @@
 
     def __init__(self):
         self._theta = list(_PRIOR)
-        self._p = [
+        self._covariance = [
             [c if i == j else 0.0 for j in range(3)]
             for i, c in enumerate(_PRIOR_COVARIANCE)
         ]
         self._prefill = _Prefill()
-        self._usual_error = 5.0
+        self._mean_abs_error = 5.0
         self.samples = 0
 
     def predict(self, running: float, kv_tokens: float) -> float:
         """Return the step in ms with `running` streams decoding."""
         base, per_stream, per_kv = self._theta
         step = base + per_stream * running + per_kv * kv_tokens / 1000
-        return max(_LEAST_STEP_MS, step)
+        return max(_MIN_STEP_MS, step)
 
     def predict_alone(self, occupancy: Occupancy, step_ms: float) -> float:
         """Return the step that the online streams would have alone.
@@ -117,10 +117,12 @@
         """Learn from one step without prefill."""
         x = (1.0, float(running), kv_tokens / 1000)
         predicted = self.predict(running, kv_tokens)
-        error = self._bounded(step_ms - predicted)
-        p = self._p
+        error = self._clip_error(step_ms - predicted)
+        p = self._covariance
         px = [r[0] * x[0] + r[1] * x[1] + r[2] * x[2] for r in p]
-        denominator = _FORGET + x[0] * px[0] + x[1] * px[1] + x[2] * px[2]
+        denominator = (
+            _FORGETTING_FACTOR + x[0] * px[0] + x[1] * px[1] + x[2] * px[2]
+        )
         theta = self._theta
         for i in range(3):
             gain = px[i] / denominator
@@ -130,22 +132,24 @@
             theta[i] += gain * error
             row = p[i]
             for j in range(3):
-                row[j] = (row[j] - gain * px[j]) / _FORGET
+                row[j] = (row[j] - gain * px[j]) / _FORGETTING_FACTOR
         self._bound_covariance()
         self.samples += 1
 
     def observe_prefill(self, excess_ms: float, tokens: int) -> None:
         """Learn that `tokens` of prompts stretched steps by `excess_ms`."""
         sums = self._prefill
-        sums.excess_ms = sums.excess_ms * _PREFILL_FORGET + excess_ms
-        sums.tokens = sums.tokens * _PREFILL_FORGET + tokens
-
-    def _bounded(self, error: float) -> float:
-        usual = self._usual_error
-        size = min(abs(error), 2 * _OUTLIER * usual)
-        usual += _ERROR_WEIGHT * (size - usual)
-        self._usual_error = max(_LEAST_ERROR_MS, usual)
-        bound = _OUTLIER * usual
+        sums.excess_ms = (
+            sums.excess_ms * _PREFILL_FORGETTING_FACTOR + excess_ms
+        )
+        sums.tokens = sums.tokens * _PREFILL_FORGETTING_FACTOR + tokens
+
+    def _clip_error(self, error: float) -> float:
+        mean_error = self._mean_abs_error
+        size = min(abs(error), 2 * _MAX_ERROR_RATIO * mean_error)
+        mean_error += _ERROR_WEIGHT * (size - mean_error)
+        self._mean_abs_error = max(_MIN_ERROR_MS, mean_error)
+        bound = _MAX_ERROR_RATIO * mean_error
         return max(-bound, min(bound, error))
 
     def _bound_covariance(self) -> None:
@@ -153,7 +157,7 @@
         # covariance grow until one odd sample throws the model; the bound
         # at the prior stops that. Rows and columns are scaled alike, which
         # keeps the matrix positive definite.
-        p = self._p
+        p = self._covariance
         for i, most in enumerate(_PRIOR_COVARIANCE):
             if p[i][i] <= most:
                 continue
@@ -175,23 +179,25 @@
         self._model = model
         self._leader: AttemptId | None = None
         self._last_ms = 0
-        self._pending = 0
-        self._just_started = 0
-        self._since_ms = 0
+        self._pending_prefills = 0
+        self._started_in_step = 0
+        self._prefill_since_ms = 0
         self._excess_ms = 0.0
         self._prefilled = 0
 
     def started(self, now: int) -> None:
         """Note that a stream was sent to the engine."""
-        if self._pending == 0:
-            self._since_ms = now
-        self._pending += 1
-        self._just_started += 1
+        if self._pending_prefills == 0:
+            self._prefill_since_ms = now
+        self._pending_prefills += 1
+        self._started_in_step += 1
 
     def abandoned(self) -> None:
         """Note that a stream ended before its first token."""
-        self._pending -= 1
-        self._just_started = min(self._just_started, self._pending)
+        self._pending_prefills -= 1
+        self._started_in_step = min(
+            self._started_in_step, self._pending_prefills
+        )
         self._excess_ms = 0.0
         self._prefilled = 0
 
@@ -204,14 +210,16 @@
         kv: int,
     ) -> None:
         """Note a stream's first token."""
-        self._pending -= 1
-        self._just_started = min(self._just_started, self._pending)
+        self._pending_prefills -= 1
+        self._started_in_step = min(
+            self._started_in_step, self._pending_prefills
+        )
         self._prefilled += prefill_tokens
         if self._leader is None:
             self._excess_ms += (
-                now - self._since_ms - self._model.predict(running, kv)
+                now - self._prefill_since_ms - self._model.predict(running, kv)
             )
-            self._lead(now, attempt_id)
+            self._set_leader(now, attempt_id)
 
     def tokens(
         self,
@@ -222,7 +230,7 @@
     ) -> float | None:
         """Note later tokens; return the step if they are the leader's."""
         if self._leader is None:
-            self._lead(now, attempt_id)
+            self._set_leader(now, attempt_id)
             return None
         if attempt_id != self._leader:
             return None
@@ -230,29 +238,29 @@
         self._last_ms = now
         # What was sent during the step is not in it: the engine takes it in
         # when the next one begins.
-        in_step = self._pending - self._just_started
-        self._just_started = 0
+        in_step = self._pending_prefills - self._started_in_step
+        self._started_in_step = 0
         if in_step > 0 or self._prefilled:
             predicted = self._model.predict(occupancy.running, occupancy.kv)
             self._excess_ms += elapsed - count * predicted
-            self._settle()
+            self._learn_prefill()
         else:
             self._model.observe(
                 elapsed / count, occupancy.decoding, occupancy.kv_decoding
             )
         return elapsed / count
 
-    def gone(self, attempt_id: AttemptId) -> None:
+    def stopped_decoding(self, attempt_id: AttemptId) -> None:
         """Note that a stream decodes no more."""
         if attempt_id == self._leader:
             self._leader = None
 
-    def _lead(self, now: int, attempt_id: AttemptId) -> None:
+    def _set_leader(self, now: int, attempt_id: AttemptId) -> None:
         self._leader = attempt_id
         self._last_ms = now
 
-    def _settle(self) -> None:
-        if self._pending == 0 and self._prefilled:
+    def _learn_prefill(self) -> None:
+        if self._pending_prefills == 0 and self._prefilled:
             self._model.observe_prefill(self._excess_ms, self._prefilled)
             self._excess_ms = 0.0
             self._prefilled = 0
--- a/dahliashunt/decisions/streams.py
+++ b/dahliashunt/decisions/streams.py
@@ -28,9 +28,9 @@
 
     Attributes
     ----------
-    done : int
+    generated_tokens : int
         Tokens of the answer so far.
-    ran_tokens : int
+    tokens_since_start : int
         Tokens made since the last start.
     how : PreemptHow or None
         How it was stopped, if it waits after a preemption.
@@ -46,8 +46,8 @@
 
     work: Work
     state: StreamState = StreamState.WAITING
-    done: int = 0
-    ran_tokens: int = 0
+    generated_tokens: int = 0
+    tokens_since_start: int = 0
     how: PreemptHow | None = None
     stopping: PreemptHow | None = None
     preemptions: int = 0
@@ -65,7 +65,7 @@
     @property
     def kv_tokens(self) -> int:
         """KV cache that it holds while it runs."""
-        return self.work.prompt_tokens + self.done
+        return self.work.prompt_tokens + self.generated_tokens
 
 
 class Occupancy:
@@ -117,7 +117,7 @@
             self.kv_batch += stream.kv_tokens
             self.prefill_batch += stream.prefill
 
-    def prefilled(self, stream: Stream) -> None:
+    def finish_prefill(self, stream: Stream) -> None:
         """Count a stream's prompt as done."""
         self.prefilling -= 1
         self.kv_prefilling -= stream.kv_at_start
@@ -126,7 +126,7 @@
         else:
             self.prefill_batch -= stream.prefill
 
-    def grew(self, stream: Stream, count: int) -> None:
+    def add_tokens(self, stream: Stream, count: int) -> None:
         """Count `count` tokens more of a stream, already added to it."""
         if stream.online:
             self.kv_online += count
@@ -143,7 +143,7 @@
     def remove(self, stream: Stream) -> None:
         """Count a stream out of the engine."""
         if stream.state is StreamState.PREFILL:
-            self.prefilled(stream)
+            self.finish_prefill(stream)
         if stream.online:
             self.online -= 1
             self.kv_online -= stream.kv_tokens
--- a/dahliashunt/decisions/tests/engine_play.py
+++ b/dahliashunt/decisions/tests/engine_play.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True)
-class Run:
+class EngineRequest:
     """One request as the engine sees it."""
 
     attempt_id: AttemptId
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class RequestTrace:
     """What the caller of one request saw."""
 
     work: Work
@@ -91,33 +91,33 @@
         self.agent = agent
         self.shape = shape or EngineShape()
         self.now = 0.0
-        self.seen_by_id: dict[AttemptId, Seen] = {}
+        self.traces_by_id: dict[AttemptId, RequestTrace] = {}
         self.preempts: list[tuple[float, Preempt]] = []
-        self.most_waiting = 0
+        self.max_queued = 0
         self.evictions = 0
         self.batch_tokens = 0
         self.lost_tokens = 0
-        self.trace = []
+        self.step_log = []
         self._batch = batch
-        self._expected = 0
+        self._items_in_transit = 0
         self._heap = []
-        self._order = itertools.count()
-        self._runs_by_id: dict[AttemptId, Run] = {}
-        self._running: list[Run] = []
-        self._queue: deque[Run] = deque()
+        self._sequence = itertools.count()
+        self._runs_by_id: dict[AttemptId, EngineRequest] = {}
+        self._running: list[EngineRequest] = []
+        self._queue: deque[EngineRequest] = deque()
         self._stops: list[Preempt] = []
         self._stepping = False
-        self._stale = (0, 0, 0)
-        self._at(REPORT_MS, self._report)
+        self._last_load = (0, 0, 0)
+        self._schedule(REPORT_MS, self._report)
 
     def offer_at(self, at_ms, work: Work, answer: int):
-        self._at(at_ms, self._offer, work, answer)
+        self._schedule(at_ms, self._offer, work, answer)
 
     def cancel_at(self, at_ms, attempt_id):
-        self._at(at_ms, self._cancel, attempt_id)
+        self._schedule(at_ms, self._cancel, attempt_id)
 
     def run(self, until_ms):
-        self._at(self.now, self._refill)
+        self._schedule(self.now, self._refill)
         while self._heap and self._heap[0][0] <= until_ms:
             self.now, _, call, args = heapq.heappop(self._heap)
             call(*args)
@@ -125,9 +125,9 @@
 
     def online(self):
         return [
-            seen
-            for seen in self.seen_by_id.values()
-            if seen.work.priority is Priority.ONLINE
+            trace
+            for trace in self.traces_by_id.values()
+            if trace.work.priority is Priority.ONLINE
         ]
 
     @property
@@ -138,50 +138,58 @@
     def running(self):
         return len(self._running)
 
-    def _at(self, at_ms, call, *args):
-        heapq.heappush(self._heap, (at_ms, next(self._order), call, args))
+    def _schedule(self, at_ms, call, *args):
+        heapq.heappush(self._heap, (at_ms, next(self._sequence), call, args))
 
-    def _do(self, decisions):
+    def _apply(self, decisions):
         for decision in decisions:
             if isinstance(decision, TurnAway):
-                seen = self.seen_by_id[decision.attempt_id]
-                seen.turned_away = decision
-                seen.turned_away_ms = self.now
+                trace = self.traces_by_id[decision.attempt_id]
+                trace.turned_away = decision
+                trace.turned_away_ms = self.now
             elif isinstance(decision, Start):
-                self._at(self.now + self.shape.hop_ms, self._arrive, decision)
+                self._schedule(
+                    self.now + self.shape.hop_ms, self._arrive, decision
+                )
             else:
                 self.preempts.append((self.now, decision))
-                self._at(self.now + self.shape.hop_ms, self._stop, decision)
+                self._schedule(
+                    self.now + self.shape.hop_ms, self._stop, decision
+                )
         wake = self.agent.wake_ms()
         if wake is not None and wake < self.now + 1000:
-            self._at(max(wake, self.now + 1), self._tick)
+            self._schedule(max(wake, self.now + 1), self._tick)
 
     def _tick(self):
         wake = self.agent.wake_ms()
         if wake is not None and wake <= self.now:
-            self._do(self.agent.tick(int(self.now)))
+            self._apply(self.agent.tick(int(self.now)))
 
     def _offer(self, work, answer):
-        self.seen_by_id[work.attempt_id] = Seen(work, self.now, answer)
-        run = Run(work.attempt_id, work.prompt_tokens, answer)
+        self.traces_by_id[work.attempt_id] = RequestTrace(
+            work, self.now, answer
+        )
+        run = EngineRequest(work.attempt_id, work.prompt_tokens, answer)
         self._runs_by_id[work.attempt_id] = run
-        self._do(self.agent.offer(int(self.now), work))
+        self._apply(self.agent.offer(int(self.now), work))
 
     def _cancel(self, attempt_id):
-        self._do(self.agent.cancel(int(self.now), attempt_id))
+        self._apply(self.agent.cancel(int(self.now), attempt_id))
 
     def _refill(self):
         if self._batch is None:
             return
-        room = self.agent.batch_room() - self._expected
+        room = self.agent.batch_room() - self._items_in_transit
         for _ in range(room):
-            self._expected += 1
-            self._at(
-                self.now + self.shape.refill_ms, self._item, *self._batch()
+            self._items_in_transit += 1
+            self._schedule(
+                self.now + self.shape.refill_ms,
+                self._offer_item,
+                *self._batch(),
             )
 
-    def _item(self, work, answer):
-        self._expected -= 1
+    def _offer_item(self, work, answer):
+        self._items_in_transit -= 1
         self._offer(work, answer)
 
     def _arrive(self, start: Start):
@@ -193,7 +201,7 @@
         else:
             run.prefill = run.prompt
         self._queue.append(run)
-        self.most_waiting = max(self.most_waiting, len(self._queue))
+        self.max_queued = max(self.max_queued, len(self._queue))
         if not self._stepping:
             self._begin_step()
 
@@ -203,7 +211,7 @@
             self._begin_step()
 
     def _begin_step(self):
-        moved = self._take_stops()
+        moved = self._apply_stops()
         prefill = 0
         kv = sum(run.kv for run in self._running)
         while self._queue and len(self._running) < self.shape.slots:
@@ -221,10 +229,10 @@
             return
         step = self.shape.step_ms(len(self._running), kv, prefill)
         step += moved / 1000 * self.shape.move_ms
-        self.trace.append((self.now, step, len(self._running), kv, prefill))
-        self._at(self.now + step, self._end_step)
+        self.step_log.append((self.now, step, len(self._running), kv, prefill))
+        self._schedule(self.now + step, self._end_step)
 
-    def _take_stops(self):
+    def _apply_stops(self):
         moved = 0
         for stop in self._stops:
             run = self._runs_by_id.get(stop.attempt_id)
@@ -239,14 +247,14 @@
                 run.done = 0
             elif stop.how is PreemptHow.EXPORT_KV:
                 moved += run.kv
-            self._at(
+            self._schedule(
                 self.now + self.shape.hop_ms, self._stopped, stop, run.done
             )
         self._stops = []
         return moved
 
     def _stopped(self, stop, done):
-        self._do(
+        self._apply(
             self.agent.preempted(
                 int(self.now), stop.attempt_id, stop.how, done
             )
@@ -261,7 +269,7 @@
         ids = [run.attempt_id for run in self._running]
         self._running = [r for r in self._running if r.done < r.answer]
         self._evict()
-        self._at(
+        self._schedule(
             self.now + self.shape.hop_ms,
             self._deliver,
             ids,
@@ -282,40 +290,40 @@
             if attempt_id[0] == "b":
                 self.batch_tokens += 1
             else:
-                self.seen_by_id[attempt_id].token_ms.append(self.now)
-            self._do(self.agent.tokens(now, attempt_id, 1))
+                self.traces_by_id[attempt_id].token_ms.append(self.now)
+            self._apply(self.agent.tokens(now, attempt_id, 1))
         for attempt_id in ended:
-            self.seen_by_id[attempt_id].ended_ms = self.now
+            self.traces_by_id[attempt_id].ended_ms = self.now
             del self._runs_by_id[attempt_id]
-            self._do(self.agent.ended(now, attempt_id))
+            self._apply(self.agent.ended(now, attempt_id))
         self._refill()
 
     def _report(self):
-        running, waiting, kv = self._stale
+        running, waiting, kv = self._last_load
         load = EngineLoad(
             running, waiting, kv, self.shape.kv_total, 0.0, int(REPORT_MS)
         )
         kv = sum(run.kv for run in self._running)
-        self._stale = (len(self._running), len(self._queue), kv)
-        self._do(self.agent.engine_load(int(self.now), load))
+        self._last_load = (len(self._running), len(self._queue), kv)
+        self._apply(self.agent.engine_load(int(self.now), load))
         self._refill()
-        self._at(self.now + REPORT_MS, self._report)
+        self._schedule(self.now + REPORT_MS, self._report)
 
 
 class Mix:
     """Random requests: prompts lognormal, answers geometric."""
 
-    def __init__(self, seed, prompt=300, answer=120, most=480):
+    def __init__(self, seed, prompt=300, answer=120, max_tokens=480):
         self._rng = random.Random(seed)
         self._prompt = prompt
         self._answer = answer
-        self._most = most
+        self._max_tokens = max_tokens
 
     def sizes(self):
         rng = self._rng
         prompt = int(self._prompt * rng.lognormvariate(-0.32, 0.8))
         answer = 1 + int(rng.expovariate(1 / self._answer))
-        return max(8, min(prompt, 6000)), min(answer, self._most)
+        return max(8, min(prompt, 6000)), min(answer, self._max_tokens)
 
     def arrivals(self, prefix, rate_s, from_ms, until_ms, wait_ms=700):
         """Yield Poisson arrivals of online work: time, work, answer."""
@@ -330,7 +338,7 @@
                 Priority.ONLINE,
                 CallerId("caller"),
                 prompt,
-                self._most,
+                self._max_tokens,
                 int(at) + wait_ms,
                 True,
             )
@@ -347,7 +355,7 @@
                 Priority.BATCH,
                 CallerId("archive"),
                 prompt,
-                self._most,
+                self._max_tokens,
                 1 << 60,
                 True,
             )
--- a/dahliashunt/decisions/tests/test_agent.py
+++ b/dahliashunt/decisions/tests/test_agent.py
@@ -20,17 +20,19 @@
 FOREVER = 1 << 60
 
 
-def online(name, prompt=100, start_by=700, most=100, **more):
+def online(name, prompt=100, start_by=700, max_tokens=100, **more):
     return Work(
-        name, Priority.ONLINE, "c", prompt, most, start_by, True, **more
+        name, Priority.ONLINE, "c", prompt, max_tokens, start_by, True, **more
     )
 
 
-def batch(name, prompt=100, most=100, **more):
-    return Work(name, Priority.BATCH, "a", prompt, most, FOREVER, True, **more)
+def batch(name, prompt=100, max_tokens=100, **more):
+    return Work(
+        name, Priority.BATCH, "a", prompt, max_tokens, FOREVER, True, **more
+    )
 
 
-def of(kind, decisions):
+def ids_of(kind, decisions):
     return [d.attempt_id for d in decisions if isinstance(d, kind)]
 
 
@@ -38,43 +40,45 @@
     return AgentDecisions(replace(policy, **settings), random.Random(1))
 
 
-def filled(count, **settings):
+def make_filled(count, **settings):
     """Return an agent with `count` batch streams that decode."""
     agent = make(idle_prefill_ms=1e9, **settings)
     for n in range(count):
-        assert of(Start, agent.offer(0, batch(f"b{n}"))) == [f"b{n}"]
+        assert ids_of(Start, agent.offer(0, batch(f"b{n}"))) == [f"b{n}"]
     for n in range(count):
         agent.tokens(50, f"b{n}", 1)
     return agent
 
 
 def test_online_starts_at_once_beside_batch():
-    agent = filled(20)
-    assert of(Start, agent.offer(60, online("o"))) == ["o"]
+    agent = make_filled(20)
+    assert ids_of(Start, agent.offer(60, online("o"))) == ["o"]
 
 
 def test_online_takes_the_place_of_batch_when_slots_are_full():
-    agent = filled(10, max_running=10, reserve_slots=0)
+    agent = make_filled(10, max_running=10, reserve_slots=0)
     decisions = agent.offer(60, online("o"))
     (stop,) = decisions
     assert isinstance(stop, Preempt)
-    assert of(Preempt, agent.tick(61)) == []
+    assert ids_of(Preempt, agent.tick(61)) == []
     decisions = agent.preempted(90, stop.attempt_id, stop.how, 1)
-    assert of(Start, decisions) == ["o"]
+    assert ids_of(Start, decisions) == ["o"]
 
 
 def test_least_loss_is_stopped_first():
-    agent = filled(3, max_running=3, reserve_slots=0, engine_exports_kv=False)
+    agent = make_filled(
+        3, max_running=3, reserve_slots=0, engine_exports_kv=False
+    )
     for step in range(1, 80):
         agent.tokens(50 + 20 * step, "b0", 1)
         if step < 50:
             agent.tokens(50 + 20 * step, "b2", 1)
     decisions = agent.offer(1_700, online("o", start_by=2_400))
-    assert of(Preempt, decisions) == ["b1"]
+    assert ids_of(Preempt, decisions) == ["b1"]
 
 
 def test_batch_is_back_in_the_call_that_frees_the_room():
-    agent = filled(4, max_running=4, reserve_slots=0)
+    agent = make_filled(4, max_running=4, reserve_slots=0)
     agent.offer(55, batch("w"))
     (stop,) = agent.offer(60, online("o"))
     agent.preempted(90, stop.attempt_id, stop.how, 1)
@@ -86,15 +90,15 @@
     # It started in time; refused now, its work would be lost.
     agent = make(max_running=1, reserve_slots=0)
     work = Work("b", Priority.BATCH, "a", 100, 100, 100, True)
-    assert of(Start, agent.offer(0, work)) == ["b"]
+    assert ids_of(Start, agent.offer(0, work)) == ["b"]
     (stop,) = agent.offer(60, online("o"))
     agent.preempted(90, "b", stop.how, 1)
     assert agent.tick(200) == []
-    assert of(Start, agent.ended(300, "o")) == ["b"]
+    assert ids_of(Start, agent.ended(300, "o")) == ["b"]
 
 
 def test_same_stream_is_not_stopped_time_after_time():
-    agent = filled(2, max_running=2, reserve_slots=0)
+    agent = make_filled(2, max_running=2, reserve_slots=0)
     for step in range(20):
         agent.tokens(70 + 20 * step, "b0", 1)
     stopped = []
@@ -108,7 +112,7 @@
 
 
 def test_preempted_stream_is_never_called_not_run():
-    agent = filled(1, max_running=1, reserve_slots=0)
+    agent = make_filled(1, max_running=1, reserve_slots=0)
     (stop,) = agent.offer(60, online("o"))
     agent.preempted(90, stop.attempt_id, stop.how, 1)
     agent.offer(95, batch("never"))
@@ -123,16 +127,16 @@
     agent = make(max_running=4)
     for n in range(4):
         agent.offer(0, online(f"o{n}"))
-    away = []
+    refusals = []
     for n in range(20):
-        away += [
+        refusals += [
             d
             for d in agent.offer(10, online(f"x{n}", start_by=400))
             if isinstance(d, TurnAway)
         ]
-    assert len(away) == 20
-    assert {d.kind for d in away} == {ErrorKind.OVERLOADED}
-    waits = [d.retry_after_ms for d in away]
+    assert len(refusals) == 20
+    assert {d.kind for d in refusals} == {ErrorKind.OVERLOADED}
+    waits = [d.retry_after_ms for d in refusals]
     assert waits[-1] > 3 * waits[0]
     assert len(set(waits)) == 20
 
@@ -142,7 +146,7 @@
     for n in range(4):
         agent.offer(0, online(f"o{n}"))
     assert agent.offer(10, online("w", start_by=60_000)) == []
-    assert of(Start, agent.ended(900, "o0")) == ["w"]
+    assert ids_of(Start, agent.ended(900, "o0")) == ["w"]
 
 
 def test_waiting_request_expires_by_the_wake_up():
@@ -152,7 +156,7 @@
     # The wake-up may be early by what has started, never late.
     assert agent.tick(agent.wake_ms()) == []
     assert agent.wake_ms() == 60_001
-    assert of(TurnAway, agent.tick(60_001)) == ["w"]
+    assert ids_of(TurnAway, agent.tick(60_001)) == ["w"]
     assert agent.wake_ms() is None
 
 
@@ -161,9 +165,9 @@
     agent.offer(0, batch("b0", prompt=600))
     assert agent.offer(1, batch("b1", prompt=600)) == []
     decisions = agent.offer(2, online("o", prompt=600))
-    assert of(Preempt, decisions) == ["b0"] and len(decisions) == 1
+    assert ids_of(Preempt, decisions) == ["b0"] and len(decisions) == 1
     decisions = agent.preempted(30, "b0", PreemptHow.RESTART, 0)
-    assert of(Start, decisions) == ["o"]
+    assert ids_of(Start, decisions) == ["o"]
 
 
 def test_engine_with_fewer_slots_than_configured_is_noticed():
@@ -176,9 +180,9 @@
         agent.tokens(30, f"b{n}", 1)
     report = EngineLoad(4, 1, 500, 100_000, 25.0, 100)
     decisions = agent.engine_load(1_000, report)
-    assert len(of(Preempt, decisions)) == 1
+    assert len(ids_of(Preempt, decisions)) == 1
     decisions = agent.offer(1_001, online("o", start_by=1_700))
-    assert len(of(Preempt, decisions)) == 1
+    assert len(ids_of(Preempt, decisions)) == 1
 
 
 def test_wait_for_the_step_boundary_is_not_taken_for_queueing():
@@ -190,7 +194,7 @@
     agent.offer(990, online("o1"))
     agent.engine_load(1_000, EngineLoad(1, 1, 100, 100_000, 25.0, 5))
     decisions = agent.offer(1_001, online("o2", start_by=1_700))
-    assert of(Start, decisions) == ["o2"]
+    assert ids_of(Start, decisions) == ["o2"]
 
 
 def test_report_from_a_long_step_does_not_take_slots_away():
@@ -209,29 +213,29 @@
         agent.offer(700, online(f"p{n}", start_by=9_000))
     agent.engine_load(1_600, EngineLoad(2, 3, 500, 100_000, 25.0, 5))
     decisions = agent.offer(1_601, online("q", start_by=2_300))
-    assert of(Start, decisions) == ["q"]
+    assert ids_of(Start, decisions) == ["q"]
 
 
 @pytest.mark.parametrize("priority", [online, batch])
 def test_alone_runs_with_nothing_beside_it(priority):
-    agent = filled(2)
+    agent = make_filled(2)
     stops = agent.offer(60, priority("suspect", alone=True))
-    assert sorted(of(Preempt, stops)) == ["b0", "b1"]
+    assert sorted(ids_of(Preempt, stops)) == ["b0", "b1"]
     agent.preempted(80, "b0", stops[0].how, 1)
     decisions = agent.preempted(81, "b1", stops[1].how, 1)
-    assert of(Start, decisions) == ["suspect"]
+    assert ids_of(Start, decisions) == ["suspect"]
     assert agent.offer(82, batch("b9")) == []
     assert agent.batch_room() == 0
-    assert len(of(Start, agent.ended(200, "suspect"))) >= 2
+    assert len(ids_of(Start, agent.ended(200, "suspect"))) >= 2
 
 
 def test_alone_batch_gives_way_to_online():
     agent = make()
-    assert of(Start, agent.offer(0, batch("suspect", alone=True)))
+    assert ids_of(Start, agent.offer(0, batch("suspect", alone=True)))
     decisions = agent.offer(10, online("o"))
-    assert of(Preempt, decisions) == ["suspect"] and len(decisions) == 1
+    assert ids_of(Preempt, decisions) == ["suspect"] and len(decisions) == 1
     decisions = agent.preempted(20, "suspect", PreemptHow.RESTART, 0)
-    assert of(Start, decisions) == ["o"]
+    assert ids_of(Start, decisions) == ["o"]
 
 
 def test_batch_goes_on_while_alone_batch_waits_for_online_to_end():
@@ -242,13 +246,13 @@
     agent.tokens(30, "o", 1)
     assert agent.offer(40, batch("suspect", alone=True)) == []
     assert agent.batch_room() > 0
-    assert of(Start, agent.offer(50, batch("b"))) == ["b"]
+    assert ids_of(Start, agent.offer(50, batch("b"))) == ["b"]
 
 
 def test_leaving_turns_away_what_waits_and_what_comes():
-    agent = filled(2, max_running=2, reserve_slots=0)
+    agent = make_filled(2, max_running=2, reserve_slots=0)
     agent.offer(60, batch("w"))
-    assert of(TurnAway, agent.leaving(70)) == ["w"]
+    assert ids_of(TurnAway, agent.leaving(70)) == ["w"]
     (refusal,) = agent.offer(71, online("late"))
     assert refusal.kind is ErrorKind.LEAVING and refusal.ran is Ran.NO
     assert agent.ended(90, "b0") == []
@@ -256,18 +260,18 @@
 
 
 def test_cancelled_attempt_frees_its_place_only_when_it_ends():
-    agent = filled(2, max_running=2, reserve_slots=0)
+    agent = make_filled(2, max_running=2, reserve_slots=0)
     agent.offer(60, batch("w"))
     assert agent.cancel(61, "b0") == []
     assert agent.status().running_batch == 2
-    assert of(Start, agent.ended(70, "b0")) == ["w"]
+    assert ids_of(Start, agent.ended(70, "b0")) == ["w"]
     agent.offer(71, batch("v"))
     agent.cancel(72, "v")
     assert agent.status().waiting_batch == 0
 
 
 def test_stream_cancelled_while_it_is_stopped_does_not_start_again():
-    agent = filled(1, max_running=1, reserve_slots=0)
+    agent = make_filled(1, max_running=1, reserve_slots=0)
     (stop,) = agent.offer(60, online("o"))
     assert agent.cancel(70, "b0") == []
     agent.preempted(90, "b0", stop.how, 1)
@@ -277,16 +281,16 @@
 
 def test_burst_is_given_room_at_once():
     # With one stop a step the last of eight callers waited eight steps.
-    agent = filled(20, max_running=20, reserve_slots=0)
+    agent = make_filled(20, max_running=20, reserve_slots=0)
     stops = []
     for n in range(8):
         stops += agent.offer(60, online(f"o{n}"))
-    assert len(of(Preempt, stops)) == 8
+    assert len(ids_of(Preempt, stops)) == 8
 
 
 def test_resent_attempt_starts_once():
     agent = make()
-    assert of(Start, agent.offer(0, online("o"))) == ["o"]
+    assert ids_of(Start, agent.offer(0, online("o"))) == ["o"]
     assert agent.offer(1, online("o")) == []
     assert agent.status().running_online == 1
 
@@ -322,10 +326,10 @@
     agent = make(HARM_FIRST)
     agent.offer(0, online("o"))
     agent.tokens(30, "o", 1)
-    away = []
+    refusals = []
     for n in range(40):
         decisions = agent.offer(40 + n, batch(f"b{n}", prompt=6_000))
-        away += [d for d in decisions if isinstance(d, TurnAway)]
-    assert len(away) == 40 - HARM_FIRST.most_held_items // 2
-    assert {d.retry_after_ms for d in away} == {HARM_FIRST.long_retry_ms}
+        refusals += [d for d in decisions if isinstance(d, TurnAway)]
+    assert len(refusals) == 40 - HARM_FIRST.max_held_items // 2
+    assert {d.retry_after_ms for d in refusals} == {HARM_FIRST.long_retry_ms}
     assert agent.batch_room() > 0
--- a/dahliashunt/decisions/tests/test_agent_play.py
+++ b/dahliashunt/decisions/tests/test_agent_play.py
@@ -16,18 +16,20 @@
 
 SECOND = 1_000
 # What the engine gives at most with all slots on batch, in tokens a second.
-FULL = 900
+FULL_BATCH_TOKENS_S = 900
 
 
-def play(policy=THROUGHPUT_FIRST, shape=None, with_batch=True, prompt=500):
+def make_simulation(
+    policy=THROUGHPUT_FIRST, shape=None, with_batch=True, prompt=500
+):
     agent = AgentDecisions(policy, random.Random(3))
     source = Mix(7, prompt, 200).batch() if with_batch else None
     return Play(agent, shape, source)
 
 
-def offer(game, rate_s, from_ms, until_ms, prefix="o", seed=5):
+def offer(simulation, rate_s, from_ms, until_ms, prefix="o", seed=5):
     for arrival in Mix(seed).arrivals(prefix, rate_s, from_ms, until_ms):
-        game.offer_at(*arrival)
+        simulation.offer_at(*arrival)
 
 
 def p95(values):
@@ -35,90 +37,95 @@
     return values[int(0.95 * (len(values) - 1))]
 
 
-def first_tokens(game):
-    return [s.first_token_ms for s in game.online() if s.token_ms]
+def first_tokens(simulation):
+    return [s.first_token_ms for s in simulation.online() if s.token_ms]
 
 
-def gaps(game):
+def gaps(simulation):
     return [
         later - earlier
-        for seen in game.online()
+        for trace in simulation.online()
         for earlier, later in zip(
-            seen.token_ms, seen.token_ms[1:], strict=False
+            trace.token_ms, trace.token_ms[1:], strict=False
         )
     ]
 
 
-def refused(game):
-    return [seen for seen in game.online() if seen.turned_away]
+def refused(simulation):
+    return [trace for trace in simulation.online() if trace.turned_away]
 
 
 def test_idle_engine_is_filled_within_a_second():
-    game = play()
-    game.run(3 * SECOND)
-    before = game.batch_tokens
-    game.run(13 * SECOND)
-    assert game.batch_tokens - before > 0.9 * FULL * 10
+    simulation = make_simulation()
+    simulation.run(3 * SECOND)
+    before = simulation.batch_tokens
+    simulation.run(13 * SECOND)
+    assert simulation.batch_tokens - before > 0.9 * FULL_BATCH_TOKENS_S * 10
 
 
 def test_idle_seconds_between_online_work_are_used():
-    game = play()
+    simulation = make_simulation()
     for begin in range(0, 30, 5):
         offer(
-            game, 6, begin * SECOND, (begin + 2) * SECOND, f"o{begin}-", begin
+            simulation,
+            6,
+            begin * SECOND,
+            (begin + 2) * SECOND,
+            f"o{begin}-",
+            begin,
         )
-    game.run(30 * SECOND)
-    assert game.batch_tokens > 0.6 * FULL * 30
-    assert not refused(game)
+    simulation.run(30 * SECOND)
+    assert simulation.batch_tokens > 0.6 * FULL_BATCH_TOKENS_S * 30
+    assert not refused(simulation)
 
 
 @pytest.mark.parametrize("burst", [1, 3, 6])
 def test_burst_does_not_wait_behind_batch(burst):
     # Batch has filled the engine when a burst of callers arrives. Without
     # preemption they queue until batch answers end, some seconds later.
-    game = play()
-    offer(game, 1.5, 0, 10 * SECOND)
-    offer(game, 1.5 * burst, 10 * SECOND, 13 * SECOND, "x", 6)
-    game.run(20 * SECOND)
-    assert not refused(game)
-    assert p95(first_tokens(game)) < 760
+    simulation = make_simulation()
+    offer(simulation, 1.5, 0, 10 * SECOND)
+    offer(simulation, 1.5 * burst, 10 * SECOND, 13 * SECOND, "x", 6)
+    simulation.run(20 * SECOND)
+    assert not refused(simulation)
+    assert p95(first_tokens(simulation)) < 760
 
 
 def test_burst_waits_without_preemption():
     policy = replace(THROUGHPUT_FIRST, gate="no_preemption")
-    game = play(policy)
-    offer(game, 12, 10 * SECOND, 12 * SECOND, "x", 6)
-    game.run(20 * SECOND)
-    assert refused(game) or p95(first_tokens(game)) > 760
+    simulation = make_simulation(policy)
+    offer(simulation, 12, 10 * SECOND, 12 * SECOND, "x", 6)
+    simulation.run(20 * SECOND)
+    assert refused(simulation) or p95(first_tokens(simulation)) > 760
 
 
 def test_batch_is_back_after_a_burst():
-    game = play()
-    offer(game, 12, 5 * SECOND, 7 * SECOND, "x", 6)
-    game.run(12 * SECOND)
-    before = game.batch_tokens
-    game.run(17 * SECOND)
-    assert game.batch_tokens - before > 0.85 * FULL * 5
+    simulation = make_simulation()
+    offer(simulation, 12, 5 * SECOND, 7 * SECOND, "x", 6)
+    simulation.run(12 * SECOND)
+    before = simulation.batch_tokens
+    simulation.run(17 * SECOND)
+    assert simulation.batch_tokens - before > 0.85 * FULL_BATCH_TOKENS_S * 5
 
 
 @pytest.mark.parametrize("prompt", [500, 2_000])
 def test_gaps_stay_near_the_target_beside_batch(prompt):
     # Long batch prompts stall the step of every stream in the engine.
-    game = play(prompt=prompt)
-    offer(game, 2.5, 0, 40 * SECOND)
-    game.run(40 * SECOND)
+    simulation = make_simulation(prompt=prompt)
+    offer(simulation, 2.5, 0, 40 * SECOND)
+    simulation.run(40 * SECOND)
     target = THROUGHPUT_FIRST.token_gap_target_ms
-    assert p95(gaps(game)) <= 1.1 * target
-    assert game.batch_tokens > 0
+    assert p95(gaps(simulation)) <= 1.1 * target
+    assert simulation.batch_tokens > 0
 
 
 def test_harm_first_leaves_the_tail_where_it_was():
     tails = []
     for with_batch in (False, True):
-        game = play(HARM_FIRST, with_batch=with_batch)
-        offer(game, 3, 0, 60 * SECOND)
-        game.run(60 * SECOND)
-        tails.append(p95(gaps(game)))
+        simulation = make_simulation(HARM_FIRST, with_batch=with_batch)
+        offer(simulation, 3, 0, 60 * SECOND)
+        simulation.run(60 * SECOND)
+        tails.append(p95(gaps(simulation)))
     assert tails[1] <= 1.08 * tails[0]
 
 
@@ -130,11 +137,11 @@
     # when they were let in, but their answers grew.
     shape = EngineShape(kv_total=8_000)
     policy = replace(THROUGHPUT_FIRST, kv_total_tokens=8_000)
-    game = play(policy, shape, with_batch)
-    offer(game, rate_s, 0, 30 * SECOND)
-    game.run(30 * SECOND)
-    assert game.evictions == 0
-    assert with_batch == (game.batch_tokens > 1_000)
+    simulation = make_simulation(policy, shape, with_batch)
+    offer(simulation, rate_s, 0, 30 * SECOND)
+    simulation.run(30 * SECOND)
+    assert simulation.evictions == 0
+    assert with_batch == (simulation.batch_tokens > 1_000)
 
 
 def test_long_prompts_do_not_hold_up_short_ones():
@@ -152,39 +159,39 @@
 
     policy = replace(THROUGHPUT_FIRST, long_stall_ms=0.0, longest_stall_ms=0.0)
     agent = AgentDecisions(policy, random.Random(3))
-    game = Play(agent, EngineShape(), item)
-    offer(game, 3, 0, 30 * SECOND)
-    game.run(30 * SECOND)
-    assert game.batch_tokens > 0.3 * FULL * 30
+    simulation = Play(agent, EngineShape(), item)
+    offer(simulation, 3, 0, 30 * SECOND)
+    simulation.run(30 * SECOND)
+    assert simulation.batch_tokens > 0.3 * FULL_BATCH_TOKENS_S * 30
 
 
 def test_saturation_keeps_targets_of_those_let_in():
-    game = play()
-    offer(game, 24, 0, 30 * SECOND)
-    game.run(31 * SECOND)
-    away = refused(game)
+    simulation = make_simulation()
+    offer(simulation, 24, 0, 30 * SECOND)
+    simulation.run(31 * SECOND)
+    refusals = refused(simulation)
     # Refused at once, not at the deadline 700 ms later.
-    at_once = [s for s in away if s.turned_away_ms - s.offered_ms < 100]
-    assert len(away) > 100
-    assert len(at_once) >= 0.9 * len(away)
-    assert p95(first_tokens(game)) < 760
-    answered = sum(1 for s in game.online() if s.ended_ms)
+    at_once = [s for s in refusals if s.turned_away_ms - s.offered_ms < 100]
+    assert len(refusals) > 100
+    assert len(at_once) >= 0.9 * len(refusals)
+    assert p95(first_tokens(simulation)) < 760
+    answered = sum(1 for s in simulation.online() if s.ended_ms)
     assert answered > 0.85 * 8 * 30
 
 
 def test_preemption_does_not_thrash():
-    game = play()
-    offer(game, 3, 0, 60 * SECOND)
-    game.run(60 * SECOND)
-    assert len(game.preempts) < 180
-    assert game.lost_tokens < 0.01 * game.batch_tokens
+    simulation = make_simulation()
+    offer(simulation, 3, 0, 60 * SECOND)
+    simulation.run(60 * SECOND)
+    assert len(simulation.preempts) < 180
+    assert simulation.lost_tokens < 0.01 * simulation.batch_tokens
 
 
 def test_learnt_costs_are_the_engines():
-    game = play()
-    offer(game, 3, 0, 60 * SECOND)
-    game.run(60 * SECOND)
-    model, shape = game.agent.model, game.shape
+    simulation = make_simulation()
+    offer(simulation, 3, 0, 60 * SECOND)
+    simulation.run(60 * SECOND)
+    model, shape = simulation.agent.model, simulation.shape
     for running, kv in ((10, 5_000), (40, 20_000), (60, 30_000)):
         truth = shape.step_ms(running, kv)
         assert model.predict(running, kv) == pytest.approx(truth, rel=0.03)
--- a/dahliashunt/decisions/tests/test_batch_order.py
+++ b/dahliashunt/decisions/tests/test_batch_order.py
@@ -22,7 +22,7 @@
     return JobShape(job_id, caller, "m", due_ms, items, tokens, weight)
 
 
-def drain(order, items_by_job, room, until_ms, from_ms=0):
+def run_order(order, items_by_job, room, until_ms, from_ms=0):
     """Grant `room` a second; return when each job's last item was sent."""
     left = dict(items_by_job)
     sent_at = {}
@@ -55,7 +55,7 @@
         order.job(0, job("archive", 5_000))
         order.job(0, job("notes", 20, caller="workshop"))
         counts = {"archive": 5_000, "notes": 20}
-        sent[name] = drain(order, counts, 4, 1_300 * STEP_MS)["notes"]
+        sent[name] = run_order(order, counts, 4, 1_300 * STEP_MS)["notes"]
     assert sent["first_come"] == 1_254 * STEP_MS
     assert sent["laxity"] <= 12 * STEP_MS
 
@@ -89,7 +89,7 @@
     # 900 s of work, due in 15 minutes and a little.
     order.job(0, job("due", 3_600, due_h=0.28, caller="buyers"))
     counts = {"archive": 5_000, "due": 3_600}
-    sent = drain(order, counts, 4, 2 * HOUR)
+    sent = run_order(order, counts, 4, 2 * HOUR)
     assert sent["due"] < sent["archive"]
 
 
@@ -125,7 +125,7 @@
     order.job(0, job("old", 5, due_h=12))
     order.job(0, job("new", 20_000, due_h=6))
     counts = {"old": 5, "new": 20_000}
-    assert drain(order, counts, 4, 60 * STEP_MS)["old"] <= 2 * STEP_MS
+    assert run_order(order, counts, 4, 60 * STEP_MS)["old"] <= 2 * STEP_MS
 
 
 def test_returning_caller_gets_no_credit_for_its_absence():
--- a/dahliashunt/decisions/tests/test_step_model.py
+++ b/dahliashunt/decisions/tests/test_step_model.py
@@ -5,51 +5,53 @@
 from dahliashunt.decisions.step_model import StepModel
 
 
-def taught(model, truth, samples, seed=1, spread=40):
+def train(model, truth, samples, seed=1, max_running=40):
     rng = random.Random(seed)
     for _ in range(samples):
-        running = rng.randint(1, spread)
+        running = rng.randint(1, max_running)
         kv = running * rng.randint(100, 900)
         model.observe(int(truth(running, kv) + rng.random()), running, kv)
     return model
 
 
-def steep(running, kv):
+def step_time(running, kv):
     return 22 + 0.7 * running + 0.2 * kv / 1000
 
 
 def test_learns_from_whole_milliseconds():
-    model = taught(StepModel(), steep, 600)
+    model = train(StepModel(), step_time, 600)
     assert model.predict(30, 15_000) == pytest.approx(
-        steep(30, 15_000), rel=0.03
+        step_time(30, 15_000), rel=0.03
     )
 
 
 def test_follows_a_change_of_the_engine():
-    model = taught(StepModel(), steep, 2_000)
-    taught(model, lambda n, kv: 2 * steep(n, kv), 4_000, 2)
+    model = train(StepModel(), step_time, 2_000)
+    train(model, lambda n, kv: 2 * step_time(n, kv), 4_000, 2)
     assert model.predict(20, 8_000) == pytest.approx(
-        2 * steep(20, 8_000), rel=0.1
+        2 * step_time(20, 8_000), rel=0.1
     )
 
 
 def test_pause_of_the_agent_does_not_throw_the_model():
     # A garbage collection or a stopped process shows as one step of 30 s;
     # unbounded it would end batch for minutes.
-    model = taught(StepModel(), steep, 2_000)
+    model = train(StepModel(), step_time, 2_000)
     model.observe(30_000, 10, 4_000)
-    assert model.predict(20, 8_000) == pytest.approx(steep(20, 8_000), rel=0.1)
+    assert model.predict(20, 8_000) == pytest.approx(
+        step_time(20, 8_000), rel=0.1
+    )
 
 
 def test_steady_load_does_not_make_the_model_jumpy():
     # Hours at one load leave forgetting nothing to hold on to: the next
     # sample, a clock's tick off, would set the cost of a stream at will.
-    model = taught(StepModel(), steep, 1_000)
+    model = train(StepModel(), step_time, 1_000)
     for _ in range(50_000):
-        model.observe(steep(20, 8_000), 20, 8_000)
-    model.observe(steep(21, 8_000) + 2, 21, 8_000)
+        model.observe(step_time(20, 8_000), 20, 8_000)
+    model.observe(step_time(21, 8_000) + 2, 21, 8_000)
     assert model.predict(45, 18_000) == pytest.approx(
-        steep(45, 18_000), rel=0.1
+        step_time(45, 18_000), rel=0.1
     )
 
 
