--- a/dahliashunt/decisions/batch_order.py
+++ b/dahliashunt/decisions/batch_order.py
@@ -1,29 +1,24 @@
-"""Which items of which jobs to send next.
+"""Order in which the items of batch jobs are sent.
 
 Load pattern: jobs of a few callers, from a handful of items to a whole
-archive, due hours apart, compete for idle capacity that comes in pieces.
+archive, with deadlines hours apart, compete for idle capacity.
 
-First come first served lets one archive hold up everything behind it. Here
-the callers share by start-time fair queueing over tokens; within a caller the
-job with the least laxity goes first, laxity being the time to the deadline
-less the time that its remaining tokens need; and a job that nears its
-latest start is urgent: it may pass the callers' shares, within a bounded
-part of the room, so that an invented deadline can't starve the others.
+Without it (``first_come``) one archive delays every job behind it.
 
-Thresholds: a job is urgent from ten minutes before its latest start, and
-urgent jobs get 6 in 10 tokens at most, so that 4 in 10 are shared fairly
-whatever deadlines callers invent. Three attempts an item bound what an
-item that can't be done costs to three times its work.
+Callers share the tokens by start-time fair queueing; within a caller the job
+with the least laxity (time to the deadline less the time that its remaining
+tokens need) goes first. A job close to its latest start is urgent and may
+exceed its caller's share, within a bounded part of the grants, so that
+callers who set early deadlines can't starve the others. A job whose deadline
+has passed is no longer urgent: it would delay jobs that can still meet theirs
+(the domino effect of earliest deadline first under overload).
 
-Nothing here asks for more than the room that endpoints offer for batch,
-so that no deadline, however near, passes online work.
+Grants never exceed the room that the endpoints offer for batch, so that a
+deadline doesn't displace online work.
 
 Notes
 -----
-`BatchOrder.choose` costs O(g log n) for g items granted and n jobs. A job
-whose deadline has passed is no longer urgent: it would take the place of
-jobs which still can be in time (the domino effect of earliest deadline
-first under overload).
+`BatchOrder.choose` costs O(g log n) for g items granted and n jobs.
 
 References
 ----------
@@ -53,7 +48,7 @@
 ]
 
 BATCH_ORDERS = Registry("batch order")
-"""Orders by name; each takes a policy and a random source."""
+"""Batch orders by name, constructed with a policy and a random source."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,22 +60,23 @@
     order : str
         Name in `BATCH_ORDERS`.
     urgent_ms : int
-        A job is urgent from this long before its latest start: the time
-        in which the share of one caller can be made up.
+        A job is urgent from this long before its latest start.
     urgent_share : float
-        Part of the granted tokens that may go to urgent jobs first.
+        Largest fraction of the grants that urgent jobs may take out of
+        turn.
     nearly_done_items : int
-        A job with no more items than this ends before its caller's other
-        jobs go on: it costs them little and frees a whole job.
+        A job with at most this many items left goes before the other jobs
+        of its caller.
     least_served_every : int
-        Each so many grants of a caller go to the job that had least, so
-        that its late jobs move while the early ones are served.
+        One in this many grants of a caller goes to its least served job,
+        so that jobs with late deadlines make progress.
     max_attempts : int
-        After so many failed attempts an item is failed for good.
+        Failed attempts after which an item fails permanently.
     backoff_ms, max_backoff_ms : int
-        Wait before the second attempt, doubled for each one more.
+        Delay before the second attempt, doubled for each further one, and
+        its upper bound.
     rate_prior : float
-        Tokens a second of one model until its rate was seen.
+        Assumed tokens per second of a model before any were granted.
     """
 
     order: str = "laxity"
@@ -96,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Send this many items of the job now."""
+    """A number of items of one job to send now."""
 
     job_id: JobId
     items: int
@@ -104,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryItem:
-    """Try the item again, not before `at_ms`."""
+    """Retry the item at `at_ms` or later."""
 
     job_id: JobId
     item: int
@@ -113,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailItem:
-    """The item is failed for good; that is its answer."""
+    """Fail the item permanently."""
 
     job_id: JobId
     item: int
@@ -121,7 +117,7 @@
 
 
 class _ItemRetries:
-    """What becomes of failed items; the same in every order."""
+    """Retries with exponential backoff, shared by all orders."""
 
     def __init__(self, policy: BatchOrderPolicy, rng: random.Random):
         self.policy = policy
@@ -130,10 +126,10 @@
     def item_failed(
         self, now: int, job_id: JobId, item: int, attempt: int
     ) -> RetryItem | FailItem:
-        """Return what becomes of an item whose `attempt` failed.
+        """Return the retry or the permanent failure of an item.
 
-        The attempts are numbered from 1. While it waits, the other items
-        go on: a retry never holds a place.
+        `attempt` is the failed one, numbered from 1. An item that waits
+        for its retry takes no room from others.
         """
         policy = self.policy
         if attempt >= policy.max_attempts:
@@ -146,14 +142,14 @@
 
 @BATCH_ORDERS.register("laxity")
 class BatchOrder(_ItemRetries):
-    """Least laxity under weighted fair shares.
+    """Least laxity first within weighted fair shares of the callers.
 
     Parameters
     ----------
     policy : BatchOrderPolicy
         Thresholds.
     rng : random.Random
-        For the jitter of retries.
+        Source of the jitter of retries.
 
     Examples
     --------
@@ -171,7 +167,7 @@
         self._model_by_job: dict[JobId, ModelId] = {}
 
     def job(self, now: int, job: JobShape) -> None:
-        """Take in a job, or what is left of it."""
+        """Add a job, or update its remaining items."""
         known = self._model_by_job.get(job.job_id)
         if known is not None and known != job.model:
             self.job_gone(job.job_id)
@@ -187,7 +183,7 @@
         queue.put(job)
 
     def job_gone(self, job_id: JobId) -> None:
-        """Forget a job that ended or was cancelled."""
+        """Remove a job that ended or was cancelled."""
         model = self._model_by_job.pop(job_id, None)
         if model is not None:
             self._queues_by_model[model].drop(job_id)
@@ -197,7 +193,7 @@
     def choose(
         self, now: int, room_by_model: dict[ModelId, int]
     ) -> list[Grant]:
-        """Return how many items of which jobs to send into the room."""
+        """Return the items to send within each model's room."""
         grants: list[Grant] = []
         for model, room in room_by_model.items():
             queue = self._queues_by_model.get(model)
@@ -228,7 +224,7 @@
 
 @BATCH_ORDERS.register("first_come")
 class FirstComeFirstServed(_ItemRetries):
-    """Baseline: first come first served."""
+    """Baseline: jobs in the order they arrived."""
 
     def __init__(self, policy: BatchOrderPolicy, rng: random.Random):
         super().__init__(policy, rng)
@@ -236,19 +232,19 @@
         self._model_by_id: dict[JobId, ModelId] = {}
 
     def job(self, now: int, job: JobShape) -> None:
-        """Take in a job, or what is left of it."""
+        """Add a job, or update its remaining items."""
         self._left_by_id[job.job_id] = job.items_left
         self._model_by_id[job.job_id] = job.model
 
     def job_gone(self, job_id: JobId) -> None:
-        """Forget a job that ended or was cancelled."""
+        """Remove a job that ended or was cancelled."""
         self._left_by_id.pop(job_id, None)
         self._model_by_id.pop(job_id, None)
 
     def choose(
         self, now: int, room_by_model: dict[ModelId, int]
     ) -> list[Grant]:
-        """Return the first items of the first jobs."""
+        """Return the items to send, in the order the jobs arrived."""
         room = dict(room_by_model)
         grants = []
         for job_id, left in self._left_by_id.items():
--- a/dahliashunt/decisions/batch_places.py
+++ b/dahliashunt/decisions/batch_places.py
@@ -1,10 +1,11 @@
-"""Where a batch item goes: the endpoint with the most room left.
+"""Choice of the endpoint for a batch item: the one with the most free room.
 
-Load pattern: many items of long jobs and idle capacity that appears at one
-endpoint for seconds. Agents report how many items they would take; reports
-are as old as a heartbeat, so what was sent since is counted against them.
-Without that count, all items of one moment go to the endpoint whose report
-was best and wait there while others idle.
+Load pattern: many items of long jobs, and idle capacity that appears at one
+endpoint for seconds.
+
+Agents report how many items they would take. Reports are as old as a
+heartbeat, so items sent since the last one are subtracted. Without that, all
+items of one moment would go to the endpoint with the best report.
 """
 
 from dataclasses import dataclass
@@ -29,7 +30,7 @@
 
 
 class BatchPlaces:
-    """Room for batch items by endpoint.
+    """Free room for batch items by endpoint.
 
     Examples
     --------
@@ -42,7 +43,7 @@
         self._by_endpoint: dict[EndpointId, _Capacity] = {}
 
     def report(self, report: EndpointReport) -> None:
-        """Take an agent's report."""
+        """Update an endpoint from its agent's report."""
         capacity = self._by_endpoint.get(report.endpoint_id)
         if capacity is None:
             capacity = _Capacity(report.models, 0)
@@ -52,11 +53,11 @@
         capacity.sent = 0
 
     def gone(self, endpoint_id: EndpointId) -> None:
-        """Stop sending to an endpoint."""
+        """Remove an endpoint."""
         self._by_endpoint.pop(endpoint_id, None)
 
     def choose(self, model: ModelId) -> EndpointId | None:
-        """Return the endpoint with the most room for `model`, or None."""
+        """Return the endpoint with the most free room for `model`, or None."""
         best = None
         best_free = 0
         for endpoint_id, capacity in self._by_endpoint.items():
@@ -65,20 +66,20 @@
         return best
 
     def sent(self, endpoint_id: EndpointId) -> None:
-        """Count an item that was sent."""
+        """Count an item as sent to the endpoint."""
         capacity = self._by_endpoint[endpoint_id]
         capacity.sent += 1
         capacity.in_flight += 1
 
     def ended(self, endpoint_id: EndpointId) -> None:
-        """Count an item that has ended; its place is free at once."""
+        """Count an item as ended and free its room."""
         capacity = self._by_endpoint.get(endpoint_id)
         if capacity is not None and capacity.in_flight > 0:
             capacity.in_flight -= 1
             capacity.sent -= 1
 
     def room_by_model(self) -> dict[ModelId, int]:
-        """Return how many items each model's endpoints would take now."""
+        """Return the free room of all endpoints by model."""
         room: dict[ModelId, int] = {}
         for capacity in self._by_endpoint.values():
             for model in capacity.models:
--- a/dahliashunt/decisions/batch_queue.py
+++ b/dahliashunt/decisions/batch_queue.py
@@ -1,8 +1,8 @@
-"""The jobs that wait for one model, in the order that they are served.
+"""Queue of the batch jobs of one model.
 
-Three heaps with lazy deletion: jobs by latest start over all callers,
-callers by virtual time, and each caller's jobs by latest start and by
-virtual time. An entry is stale when its job has a newer version.
+Heaps with lazy deletion: all jobs by latest start, the callers by virtual
+time, and each caller's jobs by latest start and by service received. An entry
+is stale when its job has a newer version.
 """
 
 from dataclasses import dataclass
@@ -15,29 +15,30 @@
 
 __all__ = ["JobShape", "ModelQueue"]
 
-# The rate of a model is averaged over about a minute: longer than a burst
-# of online work, shorter than the time in which laxity matters.
+# Averaging time of a model's token rate: longer than a burst of online work,
+# shorter than the laxity of a job.
 _RATE_WINDOW_MS = 60_000.0
-# The part that urgent jobs had is averaged over about this many grants.
+# Weight of one grant in the moving average of the urgent fraction.
 _URGENT_WEIGHT = 0.01
+# A heap is rebuilt above _MIN_HEAP_ENTRIES plus this many entries a job.
 _HEAP_ENTRIES_PER_JOB = 4
 _MIN_HEAP_ENTRIES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class JobShape:
-    """What the order has to know of a job.
+    """Remaining demand of a job.
 
     Attributes
     ----------
     due_ms : int
-        Monotonic time by which it is due.
+        Deadline, in monotonic milliseconds.
     items_left : int
         Items that are ready to be sent.
     item_tokens : int
-        Expected work of one item, prompt and answer.
+        Expected tokens of one item, prompt and answer.
     weight : float
-        Its part when callers compete.
+        Weight of the caller's fair share.
     """
 
     job_id: JobId
@@ -69,12 +70,12 @@
 
 
 class ModelQueue:
-    """Jobs of one model.
+    """Jobs that wait for one model.
 
     Parameters
     ----------
     rate_prior : float
-        Tokens a second until grants were seen.
+        Assumed tokens per second before any were granted.
     nearly_done_items, least_served_every : int
         See `BatchOrderPolicy`.
     """
@@ -102,7 +103,7 @@
         return bool(self._jobs_by_id)
 
     def put(self, demand: JobShape) -> None:
-        """Add a job, or set what is left of it."""
+        """Add a job, or update its remaining items."""
         known = self._jobs_by_id.get(demand.job_id)
         if (
             known
@@ -128,13 +129,13 @@
             return
         caller = self._callers_by_id[job.demand.caller]
         caller.jobs.discard(job_id)
-        # A caller who is ahead of the others stays known, else it would
-        # come back with a fresh share after each small job.
+        # A caller ahead of the virtual time is kept: if forgotten, it would
+        # regain a full share with each small job.
         if not caller.jobs and caller.virtual_time <= self._virtual_time:
             del self._callers_by_id[job.demand.caller]
 
     def next_urgent(self, now: int, urgent_ms: int) -> JobId | None:
-        """Return the job nearest to its latest start, if that is near."""
+        """Return the job with the earliest latest start if it is urgent."""
         heap = self._by_start
         while heap:
             start, version, job_id = heap[0]
@@ -146,7 +147,7 @@
         return None
 
     def next_fair(self) -> JobId | None:
-        """Return the next job of the caller who had least."""
+        """Return the next job of the caller with the least virtual time."""
         heap = self._by_virtual
         while heap:
             virtual_time, caller_id = heap[0]
@@ -164,7 +165,7 @@
         return None
 
     def charge(self, now: int, job_id: JobId, urgent: bool) -> None:
-        """Charge one item of the job that is sent."""
+        """Charge one sent item to the job and its caller."""
         job = self._jobs_by_id[job_id]
         caller = self._callers_by_id[job.demand.caller]
         tokens = max(1, job.demand.item_tokens)
@@ -207,8 +208,8 @@
     def _compact(self, caller: _Caller) -> None:
         """Rebuild heaps that hold mostly stale entries.
 
-        Stale entries leave when they come to the top; updates of jobs far
-        from it would let them pile up without bound.
+        Stale entries are only popped at the top, so that updates of jobs
+        further down would accumulate without bound.
         """
         max_entries = (
             _HEAP_ENTRIES_PER_JOB * len(caller.jobs) + _MIN_HEAP_ENTRIES
--- a/dahliashunt/decisions/batch_suspects.py
+++ b/dahliashunt/decisions/batch_suspects.py
@@ -1,13 +1,14 @@
-"""Batch items that may crash each endpoint that runs them.
+"""Isolation of batch items that crash the engines that run them.
 
-Load pattern: one item of a large job is poisoned. It crashes the engine
-with all its neighbours, is tried again beside other neighbours, and takes
-the fleet down one engine at a time, while its innocent neighbours use up
-their attempts beside it.
+Load pattern: one item of a large job crashes the engine and every item beside
+it, and is retried beside others.
 
-After a crash each item that was in flight there runs alone until it has
-ended without one; a second crash alone convicts. So one item costs two
-engines, and an innocent neighbour one more try.
+Without it one item crashes endpoint after endpoint, and the items beside it
+use up their attempts.
+
+After a crash each item that was in flight on the endpoint runs alone until it
+has ended without a crash; a crash while it runs alone convicts it. One item
+thus crashes two engines, and each item beside it runs one more time.
 """
 
 import enum
@@ -29,7 +30,7 @@
 
 
 class BatchSuspects:
-    """Crashes by fingerprint of batch items.
+    """Crash records of batch items by fingerprint.
 
     Examples
     --------
@@ -56,17 +57,17 @@
         return RunHow.BESIDE_OTHERS
 
     def crashed(self, now: int, fingerprint: Fingerprint, alone: bool) -> None:
-        """Note that the endpoint crashed while the item ran."""
+        """Record a crash of the endpoint while the item ran."""
         self._suspects.crashed(now, fingerprint, alone)
 
     def ended(self, fingerprint: Fingerprint) -> None:
-        """Note that the item ran to its end."""
+        """Clear the item, which ended without a crash."""
         self._suspects.cleared(fingerprint)
 
     def convict(self, now: int, fingerprint: Fingerprint, for_ms: int):
-        """Take a conviction from elsewhere."""
+        """Apply a conviction made by another entry."""
         self._suspects.convict(now, fingerprint, for_ms)
 
     def new_convictions(self) -> list[Conviction]:
-        """Return the convictions to be shared, and forget them."""
+        """Return the new convictions to share, and clear the list."""
         return self._suspects.take_new()
--- a/dahliashunt/decisions/tests/test_batch_order.py
+++ b/dahliashunt/decisions/tests/test_batch_order.py
@@ -23,7 +23,7 @@
 
 
 def run_order(order, items_by_job, room, until_ms, from_ms=0):
-    """Grant `room` a second; return when each job's last item was sent."""
+    """Grant `room` items a second; return when each job was fully sent."""
     left = dict(items_by_job)
     sent_at = {}
     for now in range(from_ms, until_ms, STEP_MS):
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("name", ["laxity", "first_come"])
-def test_grants_what_there_is_and_no_more(name):
+def test_grants_each_item_once(name):
     order = make(name)
     order.job(0, job("a", 3))
     order.job(0, job("b", 4))
@@ -46,9 +46,8 @@
     assert order.choose(1, {"m": 100}) == []
 
 
-def test_small_caller_does_not_wait_behind_an_archive():
-    # A museum hands in an archive of 5,000 lots, then a workshop 20 notes.
-    # First come first served sends the notes after the whole archive.
+def test_small_job_does_not_wait_behind_an_archive():
+    # First come first served delays a small job behind a whole archive.
     sent = {}
     for name in BATCH_ORDERS:
         order = make(name)
@@ -86,16 +85,15 @@
 def test_job_near_its_latest_start_goes_first():
     order = make(rate_prior=2_000)
     order.job(0, job("archive", 5_000, due_h=20))
-    # 900 s of work, due in 15 minutes and a little.
+    # 900 s of work, due in 1008 s.
     order.job(0, job("due", 3_600, due_h=0.28, caller="buyers"))
     counts = {"archive": 5_000, "due": 3_600}
     sent = run_order(order, counts, 4, 2 * HOUR)
     assert sent["due"] < sent["archive"]
 
 
-def test_invented_deadlines_leave_the_others_a_share():
-    # One caller marks all its jobs as due at once. Without a bound on the
-    # urgent part the others get nothing until it is done.
+def test_early_deadlines_do_not_starve_other_callers():
+    # Without a bound on urgent grants, early deadlines starve other callers.
     order = make()
     order.job(0, job("honest", 9_000, due_h=20, caller="honest"))
     order.job(0, job("rush", 90_000, due_h=0.5, caller="rush"))
@@ -106,7 +104,7 @@
     assert granted["honest"] >= 0.38 * sum(granted.values())
 
 
-def test_job_past_its_deadline_passes_nobody():
+def test_job_past_its_deadline_is_not_urgent():
     order = make()
     order.job(0, job("late", 9_000, due_h=0.0, caller="late"))
     order.job(0, job("fine", 9_000, due_h=20, caller="fine"))
@@ -118,9 +116,7 @@
 
 
 def test_last_items_do_not_wait_behind_a_new_large_job():
-    # The end of an archive is 5 items away when the same caller hands in a
-    # larger one with an earlier deadline: by deadline alone the first
-    # would stay unfinished until the second is done.
+    # By deadline alone a nearly done job waits for a large, earlier one.
     order = make(urgent_share=0.0)
     order.job(0, job("old", 5, due_h=12))
     order.job(0, job("new", 20_000, due_h=6))
@@ -141,7 +137,7 @@
     assert granted["a"] == pytest.approx(granted["b"], rel=0.1)
 
 
-def test_item_that_cannot_be_done_fails_after_bounded_attempts():
+def test_item_fails_after_max_attempts():
     order = make()
     first = order.item_failed(0, "a", 7, 1)
     second = order.item_failed(first.at_ms, "a", 7, 2)
@@ -150,7 +146,7 @@
     assert order.item_failed(9_000, "a", 7, 3) == FailItem("a", 7, 3)
 
 
-def test_updates_do_not_pile_up():
+def test_updates_do_not_accumulate_stale_heap_entries():
     order = make()
     for n in range(2_000):
         order.job(n, job("a", 100 + n % 7))
