--- a/dahliashunt/decisions/gate.py
+++ b/dahliashunt/decisions/gate.py
@@ -1,23 +1,19 @@
-"""What may enter the engine now: online at once, batch into what is idle.
+"""Gate that admits online and batch streams to the engine.
 
-Load pattern: online load comes in bursts and leaves idle seconds between
-them, and the engine runs whatever it is given in order of arrival.
+Load pattern: online load comes in bursts with idle seconds between them, and
+the engine runs its requests in order of arrival.
 
-Without a gate (``open``) online waits behind batch inside the engine, for
-as long as an item runs. A fixed split of the slots keeps the first token
-early, but gaps are longer than promised, a part of the idle engine is never
-used, and callers are refused for whom there is room.
+Without a gate (``open``) online requests queue behind batch inside the
+engine. A fixed split of the slots (``fixed_split``) stretches the gaps between
+tokens, leaves capacity idle, and refuses callers for whom there is room.
 
-`IdleCapacity` predicts the step time with one stream more and compares it
-with the bound of `dahliashunt.decisions.tail`. It also keeps slots and KV
-memory free for the next online request, and limits how long batch prompts
-stall a step: beside online work prompts either fit between the step and
-the target, or go in groups in one of the few steps that may be long.
-
-Thresholds: batch starts below 0.97 and stops above 1.05 of the bound, so
-that the growth of answers and one stream more or less (1% to 3% of a step)
-move nothing back and forth. The other numbers are explained
-where they are set, in `dahliashunt.decisions.agent_policy`.
+`IdleCapacity` predicts the step time with one more stream and compares it with
+the bound of `dahliashunt.decisions.tail`. It reserves slots and KV memory for
+the next online request and limits the stalls by batch prompts: beside online
+work prompts either fit between the step and the target, or go in groups in
+one of the few steps that may be long. Batch starts and stops at two different
+fractions of the bound (hysteresis), so that small changes of the step don't
+alternate starts and stops.
 
 References
 ----------
@@ -37,18 +33,18 @@
 
 __all__ = ["NO_SHORTFALL", "IdleCapacity", "Shortfall"]
 
-# KV cache that every running stream is expected to grow by before the gate
-# looks again: some steps, since it looks once a step.
+# KV tokens by which each running stream may grow before the next decision,
+# which comes once a step.
 _GROWTH_TOKENS = 4
-# Part of the mean answer by which the online streams together may still
-# grow: as some grow others end, so that it is less than the whole.
+# Expected growth per online stream, as a fraction of the mean answer; below
+# 1 because streams end while others grow.
 _ONLINE_GROWTH_RATIO = 0.65
 _SLOT_RAISE_INTERVAL_MS = 1_000
 
 
 @dataclass(frozen=True, slots=True)
 class Shortfall:
-    """What batch streams must give back, in each resource."""
+    """Amount of each resource that batch streams must free."""
 
     slots: int = 0
     kv_tokens: int = 0
@@ -59,24 +55,24 @@
 
 
 NO_SHORTFALL = Shortfall()
-"""No shortfall."""
+"""Shortfall of zero in each resource."""
 
 
 class IdleCapacity:
-    """Batch into predicted idle capacity; the gate of both profiles.
+    """Gate that fills predicted idle capacity with batch.
 
     Attributes
     ----------
     preempts : bool
-        Whether batch streams are stopped for online work.
+        Whether batch streams are preempted for online work.
     max_running : int
-        Most streams in the engine, lowered when it reports waiting.
+        Most streams to run in the engine; lowered when it reports a queue.
     kv_total : int
         KV memory of the engine in tokens.
     answer_tokens : float
-        Mean length of an online answer, learnt by the front.
+        Mean length of an online answer, set by `AgentDecisions`.
     quiet : bool
-        Whether no online work ran for a while.
+        Whether no online work ran for `AgentPolicy.quiet_ms`.
     """
 
     preempts = True
@@ -95,7 +91,7 @@
         self._max_running_seen = 0
 
     def update_activity(self, now: int, occupancy: Occupancy) -> None:
-        """Note whether online work runs; it is quiet some time after."""
+        """Update `quiet` from whether online work runs."""
         if occupancy.online:
             self._last_online_ms = now
             self.quiet = False
@@ -105,19 +101,15 @@
     def update_limits(
         self, now: int, load: EngineLoad, queueing: bool
     ) -> None:
-        """Learn memory and slots from the engine's lagging report.
-
-        Streams that wait inside the engine mean that it runs fewer than
-        the policy says: online would queue behind batch there, where
-        nothing can pass it. Every arrival waits for the step boundary, so
-        a report counts only if a stream of ours waits longer than that
-        (`queueing`). The bound returns by a slot a second.
-
-        The bound never falls below what the engine has been seen to run.
-        On a busy machine a step takes long, and a report from its midst
-        shows two running and three waiting in an engine of 32 slots. Two
-        slots then held online requests back beside an idle engine until
-        their time to start was over.
+        """Update memory and slots from the engine's delayed report.
+
+        Streams that wait inside the engine mean that it has fewer slots
+        than `AgentPolicy.max_running`. Every arrival waits for the step
+        boundary, so the report counts only if a stream waits longer than
+        that (`queueing`). The limit recovers by a slot a second.
+
+        The limit never falls below the highest reported number of running
+        streams: a report from the middle of a long step shows too few.
         """
         if load.kv_total_tokens > 0:
             self.kv_total = load.kv_total_tokens
@@ -134,21 +126,21 @@
         self._next_slot_raise_ms = now + _SLOT_RAISE_INTERVAL_MS
 
     def step_bound(self, occupancy: Occupancy) -> float:
-        """Return the longest step that batch may cause."""
+        """Return the longest step in ms that batch may cause."""
         if not occupancy.online:
             policy = self.policy
             return policy.quiet_step_ms if self.quiet else policy.idle_step_ms
         return self.tail.bound_ms
 
     def online_blocked(self, stream: Stream, occupancy: Occupancy) -> bool:
-        """Return whether online streams alone leave no room for it."""
+        """Return whether the online streams alone leave no room for it."""
         online = occupancy.online
         if not online:
             return False
         if online >= self.max_running:
             return True
-        # Answers still grow. Without room for it the engine throws an
-        # online stream out and computes it again: its caller sees a gap.
+        # Without room for the growth of the answers the engine evicts an
+        # online stream and recomputes it, which its caller sees as a gap.
         growth = _ONLINE_GROWTH_RATIO * self.answer_tokens * (online + 1)
         needed = stream.kv_tokens + growth
         if occupancy.kv_online + needed > self.kv_total:
@@ -161,7 +153,7 @@
     def online_shortfall(
         self, streams: tuple[Stream, ...], occupancy: Occupancy
     ) -> Shortfall:
-        """Return what batch must free before the streams can start."""
+        """Return the shortfall that keeps the streams from starting."""
         slots = occupancy.running + len(streams) - self.max_running
         needed = sum(stream.kv_tokens for stream in streams)
         kv = self._kv_excess(needed, occupancy, 0.0)
@@ -170,7 +162,7 @@
         return Shortfall(max(0, slots), max(0, kv))
 
     def excess(self, occupancy: Occupancy) -> Shortfall:
-        """Return what batch must give back now."""
+        """Return the resources that batch uses beyond its bounds."""
         batch = occupancy.batch - occupancy.stopping
         if batch <= 0:
             return NO_SHORTFALL
@@ -201,7 +193,7 @@
     ) -> bool:
         """Return whether the batch stream may start now.
 
-        Asked after `batch_blocked`, and again after each start.
+        Called after `batch_blocked`, and again after each start.
         """
         policy = self.policy
         if occupancy.running + 1 > self.max_running - policy.reserve_slots:
@@ -216,7 +208,7 @@
     def batch_started(
         self, now: int, stream: Stream, occupancy: Occupancy
     ) -> None:
-        """Charge a stall by batch prompts to what is allowed."""
+        """Charge a stall by batch prompts to the tail's credit."""
         if not occupancy.online or self._stall_charged_ms == now:
             return
         if not self._stall_fits(stream, occupancy):
@@ -224,12 +216,12 @@
             self.tail.exceeds()
 
     def short_prompt_tokens(self) -> float:
-        """Return the longest prompt that stalls a step only as usual."""
+        """Return the longest prompt within `AgentPolicy.prefill_stall_ms`."""
         cost = max(self.model.prefill_ms_per_token, 1e-6)
         return self.policy.prefill_stall_ms / cost
 
     def room(self, stream_kv: int, occupancy: Occupancy) -> int:
-        """Return how many batch streams of that size would fit more."""
+        """Return how many more batch streams of that KV size would fit."""
         policy = self.policy
         slots = self.max_running - policy.reserve_slots - occupancy.running
         bound = self.step_bound(occupancy) * policy.resume_mark
@@ -268,14 +260,14 @@
                 most = policy.idle_prefill_ms
                 alone = pending == 0 and stall <= policy.longest_stall_ms
                 return alone or stall <= most
-            # One long prompt may run by itself, else it never would.
+            # A long prompt may run if no other is being prefilled.
             return pending == 0 or stall <= policy.quiet_prefill_ms
         if self._stall_fits(stream, occupancy):
             return True
         if stall > policy.long_stall_ms:
             fits = pending == 0 and stall <= policy.longest_stall_ms
             return fits and self.tail.may_exceed()
-        # Prompts that are sent together are computed in one step.
+        # Prompts that are sent together are prefilled in one step.
         if self._stall_charged_ms == now:
             return True
         return pending == 0 and self.tail.may_exceed()
--- a/dahliashunt/decisions/step_model.py
+++ b/dahliashunt/decisions/step_model.py
@@ -1,21 +1,17 @@
-"""Learning how long an engine's step takes from the token streams.
+"""Online estimate of an engine's step time from its token streams.
 
-Load pattern: an engine's step time depends on how many streams it runs and
-how much KV cache they hold, and differs by model and machine. A gate that
-doesn't know it either wastes idle seconds or stretches online gaps: one
-run in which the model went astray took a step of 37 ms for 96, gave batch
-155 tokens a second instead of 597 and refused 53 callers.
+Load pattern: the step time depends on the number of running streams and their
+KV cache, and differs by model and machine.
 
-`StepModel` fits ``step = base + a * running + b * kv / 1000`` by recursive
-least squares, and the prefill cost a token as a ratio of sums. It learns
-from one stream, the leader: all streams of a continuous batch advance
-together, so that one gives a sample a step and costs nothing for the rest.
+Without an estimate the gate either leaves capacity idle or stretches the gaps
+between online tokens.
 
-Thresholds: half of a sample's weight is gone after 1400 steps, half a
-minute to a minute, which follows a change of model and averages the
-millisecond clock. Errors are bounded at 4 times the usual one, so that a
-pause of the agent is one odd sample among many, and the covariance at the
-prior, so that hours at one load don't make the first other sample decide.
+`StepModel` fits ``step = base + a * running + b * kv / 1000`` by recursive
+least squares with forgetting, and the prefill cost per token as a ratio of
+sums. Samples come from one stream, the leader: all streams of a continuous
+batch advance together. Errors are clipped, so that a pause of the agent is
+one outlier, and the covariance is bounded by the prior, so that it doesn't
+grow during hours of constant load.
 
 References
 ----------
@@ -32,15 +28,14 @@
 
 __all__ = ["StepModel", "StepObserver"]
 
-# Half of a sample's weight is gone after about 1400 steps (30 to 60 s),
-# which follows a change of model and still averages the 1 ms clock.
+# Halves a sample's weight in about 1400 steps: follows a change of model and
+# averages the quantization of the millisecond clock.
 _FORGETTING_FACTOR = 0.9995
-# The prior counts like a handful of samples.
+# Coefficients base, a and b, in ms, and their variances.
 _PRIOR = (15.0, 0.4, 0.1)
 _PRIOR_COVARIANCE = (50.0, 0.05, 0.05)
-# A pause of the agent looks like one long step. A sample pulls the model
-# by no more than this multiple of the usual error (Huber's bound), whose
-# estimate grows within some tens of samples when the engine really changed.
+# Errors are clipped to this multiple of their mean (Huber): a pause of the
+# agent looks like one long step.
 _MAX_ERROR_RATIO = 4.0
 _ERROR_WEIGHT = 0.02
 _MIN_ERROR_MS = 0.5
@@ -52,14 +47,14 @@
 
 @dataclass(slots=True)
 class _Prefill:
-    """Sums whose ratio is the prefill cost a token."""
+    """Sums whose ratio is the prefill cost per token."""
 
     excess_ms: float = _PREFILL_PRIOR_MS * _PREFILL_PRIOR_TOKENS
     tokens: float = _PREFILL_PRIOR_TOKENS
 
 
 class StepModel:
-    """Step time against running streams and KV tokens, learnt online.
+    """Step time as a linear function of running streams and KV tokens.
 
     Examples
     --------
@@ -82,17 +77,17 @@
         self.samples = 0
 
     def predict(self, running: float, kv_tokens: float) -> float:
-        """Return the step in ms with `running` streams decoding."""
+        """Return the step time in ms with `running` streams decoding."""
         base, per_stream, per_kv = self._theta
         step = base + per_stream * running + per_kv * kv_tokens / 1000
         return max(_MIN_STEP_MS, step)
 
     def predict_alone(self, occupancy: Occupancy, step_ms: float) -> float:
-        """Return the step that the online streams would have alone.
+        """Return the step time in ms of the online streams without batch.
 
-        Without batch they would also end sooner, so that fewer would run
-        at a time: the online part of the step shrinks with the step, which
-        gives ``alone = base + online * alone / step``.
+        With shorter steps fewer online streams run at a time, so that the
+        online part of the step scales with it:
+        ``alone = base + online * alone / step``.
         """
         base = self.predict(0, 0)
         online = self.predict(occupancy.online, occupancy.kv_online) - base
@@ -100,21 +95,21 @@
 
     @property
     def per_stream_ms(self) -> float:
-        """How much one stream more stretches the step."""
+        """Step time in ms added by each running stream."""
         return max(0.0, self._theta[1])
 
     @property
     def per_kv_ms(self) -> float:
-        """How much a thousand KV tokens more stretch the step."""
+        """Step time in ms added by each thousand KV tokens."""
         return max(0.0, self._theta[2])
 
     @property
     def prefill_ms_per_token(self) -> float:
-        """How much each prompt token stretches the step it is in."""
+        """Step time in ms added by each prompt token prefilled in it."""
         return max(0.0, self._prefill.excess_ms / self._prefill.tokens)
 
     def observe(self, step_ms: float, running: int, kv_tokens: int) -> None:
-        """Learn from one step without prefill."""
+        """Update the estimate from one step without prefill."""
         x = (1.0, float(running), kv_tokens / 1000)
         predicted = self.predict(running, kv_tokens)
         error = self._clip_error(step_ms - predicted)
@@ -126,9 +121,8 @@
         theta = self._theta
         for i in range(3):
             gain = px[i] / denominator
-            # Not held above zero here: while streams and KV grow together
-            # one cost may swing below, and holding it there drives the
-            # others away for good (a step of 37 ms was taken for 96).
+            # Coefficients aren't clamped at zero: while streams and KV are
+            # correlated, clamping one makes the others diverge.
             theta[i] += gain * error
             row = p[i]
             for j in range(3):
@@ -137,7 +131,7 @@
         self.samples += 1
 
     def observe_prefill(self, excess_ms: float, tokens: int) -> None:
-        """Learn that `tokens` of prompts stretched steps by `excess_ms`."""
+        """Update the prefill cost: `tokens` prompt tokens took `excess_ms`."""
         sums = self._prefill
         sums.excess_ms = (
             sums.excess_ms * _PREFILL_FORGETTING_FACTOR + excess_ms
@@ -153,10 +147,9 @@
         return max(-bound, min(bound, error))
 
     def _bound_covariance(self) -> None:
-        # Forgetting without excitation (hours of one steady load) lets the
-        # covariance grow until one odd sample throws the model; the bound
-        # at the prior stops that. Rows and columns are scaled alike, which
-        # keeps the matrix positive definite.
+        # Without excitation (hours of constant load) forgetting inflates the
+        # covariance until one outlier upsets the model. Rows and columns are
+        # scaled alike, which keeps the matrix positive definite.
         p = self._covariance
         for i, most in enumerate(_PRIOR_COVARIANCE):
             if p[i][i] <= most:
@@ -168,11 +161,11 @@
 
 
 class StepObserver:
-    """Turns token arrivals into samples of a `StepModel`.
+    """Converts token arrivals into samples of a `StepModel`.
 
-    Steps in which a prompt is prefilled teach the prefill cost: their
-    excess over the predicted step is summed until no prefill is pending,
-    so that it does not matter how the engine splits a prompt over steps.
+    The excess of steps with prefill over the predicted step is summed until
+    no prefill is pending, so that the prefill cost doesn't depend on how
+    the engine splits a prompt over steps.
     """
 
     def __init__(self, model: StepModel):
@@ -186,14 +179,14 @@
         self._prefilled = 0
 
     def started(self, now: int) -> None:
-        """Note that a stream was sent to the engine."""
+        """Record that a stream was sent to the engine."""
         if self._pending_prefills == 0:
             self._prefill_since_ms = now
         self._pending_prefills += 1
         self._started_in_step += 1
 
     def abandoned(self) -> None:
-        """Note that a stream ended before its first token."""
+        """Record that a stream ended before its first token."""
         self._pending_prefills -= 1
         self._started_in_step = min(
             self._started_in_step, self._pending_prefills
@@ -209,7 +202,7 @@
         running: int,
         kv: int,
     ) -> None:
-        """Note a stream's first token."""
+        """Record a stream's first token."""
         self._pending_prefills -= 1
         self._started_in_step = min(
             self._started_in_step, self._pending_prefills
@@ -228,7 +221,7 @@
         count: int,
         occupancy: Occupancy,
     ) -> float | None:
-        """Note later tokens; return the step if they are the leader's."""
+        """Record later tokens; return the step in ms if from the leader."""
         if self._leader is None:
             self._set_leader(now, attempt_id)
             return None
@@ -236,8 +229,8 @@
             return None
         elapsed = now - self._last_ms
         self._last_ms = now
-        # What was sent during the step is not in it: the engine takes it in
-        # when the next one begins.
+        # The engine admits a stream at the next step boundary, so streams
+        # sent during this step aren't part of it.
         in_step = self._pending_prefills - self._started_in_step
         self._started_in_step = 0
         if in_step > 0 or self._prefilled:
@@ -251,7 +244,7 @@
         return elapsed / count
 
     def stopped_decoding(self, attempt_id: AttemptId) -> None:
-        """Note that a stream decodes no more."""
+        """Record that a stream left the engine."""
         if attempt_id == self._leader:
             self._leader = None
 
--- a/dahliashunt/decisions/tests/test_step_model.py
+++ b/dahliashunt/decisions/tests/test_step_model.py
@@ -33,9 +33,8 @@
     )
 
 
-def test_pause_of_the_agent_does_not_throw_the_model():
-    # A garbage collection or a stopped process shows as one step of 30 s;
-    # unbounded it would end batch for minutes.
+def test_pause_of_the_agent_is_treated_as_an_outlier():
+    # An unclipped pause, seen as one step of 30 s, stops batch for minutes.
     model = train(StepModel(), step_time, 2_000)
     model.observe(30_000, 10, 4_000)
     assert model.predict(20, 8_000) == pytest.approx(
@@ -43,9 +42,8 @@
     )
 
 
-def test_steady_load_does_not_make_the_model_jumpy():
-    # Hours at one load leave forgetting nothing to hold on to: the next
-    # sample, a clock's tick off, would set the cost of a stream at will.
+def test_constant_load_does_not_inflate_the_covariance():
+    # After hours of constant load one outlier must not set the stream cost.
     model = train(StepModel(), step_time, 1_000)
     for _ in range(50_000):
         model.observe(step_time(20, 8_000), 20, 8_000)
@@ -63,11 +61,9 @@
 
 
 @pytest.mark.parametrize("seed", [7, 8, 11, 15, 20])
-def test_odd_samples_do_not_drive_the_costs_apart(seed):
-    # Memory grows nearly in proportion to the streams, so that one cost
-    # can stand in for the other, and a few odd samples push one below
-    # zero. Held at zero, it drove the others away: a step of 37 ms was
-    # taken for 96, batch stopped and 53 callers were refused.
+def test_outliers_do_not_make_the_costs_diverge(seed):
+    # With correlated streams and KV, clamping a negative cost at zero makes
+    # the estimate diverge.
     rng = random.Random(seed)
     model = StepModel()
     for n in range(140):
@@ -76,8 +72,8 @@
             running = max(10, 34 - (n - 65) // 2)
         kv = running * rng.randint(530, 700)
         truth = 18 + 0.6 * running + 0.1 * kv / 1000
-        odd = 8 if n in (2, 21, 30, 45) else 0
-        model.observe(int(truth + odd + rng.random()), running, kv)
+        outlier = 8 if n in (2, 21, 30, 45) else 0
+        model.observe(int(truth + outlier + rng.random()), running, kv)
         if n > 80:
             step = model.predict(running, kv)
             assert step == pytest.approx(truth, rel=0.05)
