--- a/dahliashunt/decisions/agent.py
+++ b/dahliashunt/decisions/agent.py
@@ -1,12 +1,13 @@
-"""The agent's decisions: the one front that the agent process calls.
+"""Decisions of the agent on what its engine runs.
 
-Load pattern: online bursts and idle seconds on one engine that knows no
-priorities. The front holds what waits, hands the engine no more than it
-runs without queueing, fills idle capacity with batch, and stops batch
-streams when online needs the room.
+Load pattern: online bursts and idle seconds on one engine without priorities.
 
-Each call takes ``now`` in monotonic milliseconds and returns decisions;
-an offered attempt that gets none waits.
+`AgentDecisions` holds the waiting attempts, sends the engine no more than it
+runs without queueing, fills idle capacity with batch, and preempts batch
+streams when online work needs the room.
+
+Each call takes ``now`` in monotonic milliseconds and returns decisions; an
+offered attempt without a decision waits.
 """
 
 from dataclasses import dataclass
@@ -31,16 +32,16 @@
 
 __all__ = ["AgentDecisions", "AgentStatus", "Decision"]
 
-# A leaving endpoint takes nothing more; another one does, at once.
+# Another endpoint can take the attempt immediately.
 _LEAVING_RETRY_MS = 1
-# Weight of one ended item in the size of a typical item.
+# Weight of one ended item in the mean KV size of batch items.
 _ITEM_WEIGHT = 0.1
 _ITEM_PRIOR_TOKENS = 600.0
 
 
 @dataclass(frozen=True, slots=True)
 class AgentStatus:
-    """What the agent reports on its endpoint."""
+    """Status of the endpoint that the agent reports."""
 
     running_online: int
     running_batch: int
@@ -53,14 +54,14 @@
 
 
 class AgentDecisions:
-    """Decides what the engine beside an agent runs.
+    """Decisions on the attempts offered to one engine.
 
     Parameters
     ----------
     policy : AgentPolicy
         Thresholds, and the name of the gate.
     rng : random.Random
-        For the jitter of Retry-After.
+        Source of the jitter of Retry-After.
 
     Examples
     --------
@@ -86,10 +87,10 @@
         self._item_tokens = _ITEM_PRIOR_TOKENS
 
     def offer(self, now: int, work: Work) -> list[Decision]:
-        """Take in an attempt; it starts, is turned away, or waits.
+        """Add an attempt, which starts, is refused, or waits.
 
-        One that is known already is ignored: a link that was replaced
-        sends its requests again.
+        A known attempt is ignored: a link that reconnects sends its
+        requests again.
         """
         if work.attempt_id in self._by_id:
             return []
@@ -105,7 +106,7 @@
     def tokens(
         self, now: int, attempt_id: AttemptId, count: int
     ) -> list[Decision]:
-        """Note tokens of an answer; decide again once a step."""
+        """Record tokens of an answer; decide again once a step."""
         stream = self._by_id.get(attempt_id)
         if stream is None or stream.state is StreamState.WAITING:
             return []
@@ -116,7 +117,7 @@
         return []
 
     def engine_load(self, now: int, load: EngineLoad) -> list[Decision]:
-        """Take in the engine's lagging report."""
+        """Update from the engine's delayed load report."""
         if self.model.samples == 0 and load.step_ms > 0 and load.running:
             self.model.observe(load.step_ms, load.running, load.kv_used_tokens)
         self._gate.update_limits(
@@ -125,7 +126,7 @@
         return self._decide(now)
 
     def ended(self, now: int, attempt_id: AttemptId) -> list[Decision]:
-        """Forget an attempt that the engine is done with."""
+        """Remove an attempt that ended in the engine or was cancelled."""
         stream = self._by_id.pop(attempt_id, None)
         if stream is None:
             return []
@@ -148,7 +149,7 @@
         how: PreemptHow,
         done_tokens: int,
     ) -> list[Decision]:
-        """Put a stopped stream back in front of the waiting batch."""
+        """Return a preempted stream to the front of its queue."""
         stream = self._by_id.get(attempt_id)
         if stream is None or stream.state is StreamState.WAITING:
             return []
@@ -169,7 +170,7 @@
         return self._decide(now)
 
     def cancel(self, now: int, attempt_id: AttemptId) -> list[Decision]:
-        """Drop a waiting attempt; a running one is forgotten at its end."""
+        """Remove a waiting attempt; a running one stays until it ends."""
         stream = self._by_id.get(attempt_id)
         if stream is None:
             return []
@@ -179,7 +180,7 @@
         return self.ended(now, attempt_id)
 
     def leaving(self, now: int) -> list[Decision]:
-        """Turn away all that waits, and refuse offers from now on."""
+        """Refuse all waiting attempts and all offers from now on."""
         self._leaving = True
         return [
             self._decider.refuse(stream, ErrorKind.LEAVING, _LEAVING_RETRY_MS)
@@ -187,15 +188,15 @@
         ]
 
     def tick(self, now: int) -> list[Decision]:
-        """Look again when `wake_ms` has come."""
+        """Decide again; call it at `wake_ms`."""
         return self._decide(now)
 
     def wake_ms(self) -> int | None:
-        """Return when to call `tick` at the latest, or None."""
+        """Return the latest time to call `tick`, or None."""
         return self._waiting.wake_ms()
 
     def batch_room(self) -> int:
-        """Return how many batch items would be taken now."""
+        """Return how many batch items the agent can take now."""
         waiting = self._waiting
         if self._leaving or self._decider.alone_blocks_others():
             return 0
@@ -209,7 +210,7 @@
         return max(0, min(room, self._max_held() + fits - held))
 
     def status(self) -> AgentStatus:
-        """Return what the agent reports on its endpoint."""
+        """Return the status to report."""
         occupancy = self._running.occupancy
         return AgentStatus(
             running_online=occupancy.online,
@@ -229,7 +230,7 @@
         return max(self.policy.max_held_items, self._buffer_items())
 
     def _buffer_items(self) -> int:
-        """Return the items to hold ready until a refill arrives."""
+        """Return the batch items to hold until a refill arrives."""
         occupancy = self._running.occupancy
         step = self.model.predict(occupancy.running, occupancy.kv)
         ends = occupancy.batch * self.policy.refill_ms
--- a/dahliashunt/decisions/agent_decider.py
+++ b/dahliashunt/decisions/agent_decider.py
@@ -1,15 +1,15 @@
-"""What an agent starts, stops and refuses, from all that it knows.
-
-Load pattern: a burst of online work on an engine that batch fills, and
-online work above what the engine gives. In this order: what can't start in
-time is refused, work that must run alone holds the rest up, online starts
-or is given room, batch gives back what it has too much, batch starts.
-
-Without the order a batch stream takes the place that an online one was
-about to get. Without room for a whole burst at once the last of eight
-callers waits eight steps, half a second of the 0.76 s that are promised.
-A long prompt that finds no room beside online work is passed by the ones
-behind it: when it was not, batch fell from 31,854 tokens in 60 s to 2,662.
+"""Start, preemption and refusal of the streams of one agent.
+
+Load pattern: a burst of online work on an engine that batch fills, and online
+load above the capacity of the engine.
+
+Each decision goes in this order: refuse streams that can't start in time, let
+work that must run alone block the rest, start online streams or free room for
+them, preempt excess batch, start batch.
+
+Without this order a batch stream takes the room that was freed for an online
+one. Without room for a whole burst at once its last request waits a step for
+each earlier one.
 """
 
 from collections import deque
@@ -34,24 +34,24 @@
 __all__ = ["Decider", "Decision"]
 
 Decision = Start | TurnAway | Preempt
-"""What the agent process carries out."""
+"""Decision that the agent process carries out."""
 
 
 class Decider:
-    """Decides over the streams that wait and those that run.
+    """Decisions on the waiting and the running streams.
 
     Attributes
     ----------
     gate : IdleCapacity
-        The gate, or one of its baselines.
+        Admission gate, or one of its baselines.
     running : RunningStreams
         Streams in the engine.
     waiting : WaitingStreams
-        Streams that are not.
+        Streams that wait to be started.
     drain : Drain
-        When a waiting stream would start.
+        Estimate of queue waits and Retry-After.
     by_id : dict of AttemptId to Stream
-        All of them.
+        All streams, waiting and running.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self.by_id: dict[AttemptId, Stream] = {}
 
     def decide(self, now: int) -> list[Decision]:
-        """Return what to start, stop and refuse now."""
+        """Return the streams to start, preempt and refuse now."""
         self.gate.update_activity(now, self.running.occupancy)
         decisions: list[Decision] = self._expire(now)
         if self.alone_blocks_others():
@@ -105,7 +105,7 @@
             decisions.append(self.running.start(now, stream))
 
     def _make_room(self) -> list[Preempt]:
-        """Stop batch for all the online work that waits, at once."""
+        """Preempt batch for all waiting online streams at once."""
         if not self.gate.preempts:
             return []
         occupancy = self.running.occupancy
@@ -131,17 +131,16 @@
                 self.gate.batch_started(now, stream, occupancy)
                 decisions.append(self.running.start(now, stream))
                 continue
-            # A long prompt that must wait for an idle engine would keep
-            # the short ones behind it waiting, and the room unused.
+            # Skip a long prompt: it would block shorter ones that fit.
             if stream.prefill <= short_limit:
                 break
             index += 1
 
     def _refuse_long(self, now: int) -> list[TurnAway]:
-        """Refuse long prompts that would fill the places held for batch.
+        """Refuse long prompts beyond half of the batch queue.
 
-        Beside steady online work some never find room; all places held by
-        them would end batch here for good.
+        Beside steady online work they may never fit, and a queue full of
+        them would stop batch.
         """
         policy = self._policy
         if len(self.waiting.batch) <= policy.max_held_items // 2:
@@ -162,7 +161,7 @@
         return refused
 
     def alone_blocks_others(self) -> bool:
-        """Return whether work that must run alone holds up the rest."""
+        """Return whether work that must run alone blocks the rest."""
         if self.running.alone is not None:
             return True
         if not self.waiting.alone:
@@ -181,12 +180,12 @@
             decisions.append(self.running.start(now, waiting.alone.popleft()))
         else:
             decisions += self.running.stop_all()
-        # Behind a batch stream that is being stopped online waits a step.
+        # Online work waits only a step for a batch stream being preempted.
         if waiting.online and (alone is None or alone.online):
             self._refuse_late(now, decisions)
 
     def _refuse_late(self, now: int, decisions: list[Decision]) -> None:
-        """Refuse waiting online work that can't start in time, now."""
+        """Refuse waiting online streams that can't start in time."""
         gap, initial_wait = self._drain_ms()
         kept: deque[Stream] = deque()
         for stream in self.waiting.online:
@@ -206,7 +205,7 @@
         self.waiting.online = kept
 
     def _drain_ms(self) -> tuple[float, float]:
-        """Return the gap between ends of streams, and the wait before."""
+        """Return the interval between stream ends, and the wait before it."""
         occupancy = self.running.occupancy
         step = self._model.predict(occupancy.online, occupancy.kv_online)
         gap = self.drain.gap_ms(occupancy.online, step)
@@ -215,7 +214,7 @@
         alone = self.running.alone
         if alone is not None and not alone.online:
             return gap, step
-        # The running streams end, then the one alone runs to its end.
+        # The running streams end, then the exclusive one runs to its end.
         runs_before = 1 if alone is not None else 1 + (occupancy.online > 0)
         return gap, runs_before * self.drain.gap_ms(1, step)
 
@@ -236,8 +235,8 @@
     def refuse(
         self, stream: Stream, kind: ErrorKind, after_ms: int
     ) -> TurnAway:
-        """Return the refusal of a waiting stream, which is forgotten."""
+        """Remove a waiting stream and return its refusal."""
         del self.by_id[stream.work.attempt_id]
-        # A preempted stream had begun, so it may not be called "not run".
+        # A preempted stream has run, so it can't be reported as not run.
         ran = Ran.YES if stream.preemptions else Ran.NO
         return TurnAway(stream.work.attempt_id, kind, after_ms, ran)
--- a/dahliashunt/decisions/agent_policy.py
+++ b/dahliashunt/decisions/agent_policy.py
@@ -1,20 +1,15 @@
-"""Settings of the agent's decisions, with one profile a deployment.
-
-Every threshold of the gate, of preemption and of the online wait is here,
-so that a deployment changes one without touching the code.
+"""Settings of the agent's decisions, with one profile per deployment.
 
 Notes
 -----
-The two targets are the agreed ones: 95 of 100 first tokens within 0.76 s,
-95 of 100 gaps between tokens within 69 ms. What differs between the
-deployments is how much of these a batch stream may use up:
+The targets are the 95th percentiles of the time to first token and of the gap
+between tokens. The profiles differ in how much of them batch may use:
 
-`THROUGHPUT_FIRST` (Poppenhersteld, whose archives fill the night) spends
-the whole allowance: batch may stretch the step up to `step_margin` of the
-target, whatever the online streams would see without it.
+`THROUGHPUT_FIRST` (Poppenhersteld) uses all of it: batch may stretch the step
+up to `step_margin` of the gap target.
 
-`HARM_FIRST` (Breakyard, whose foremen wait at a blocked bay) bounds the
-tail of the gaps to a small growth over what online work has alone.
+`HARM_FIRST` (Breakyard) bounds the growth of the tail of the gaps over online
+work without batch.
 """
 
 from dataclasses import dataclass
@@ -33,61 +28,61 @@
     token_gap_target_ms, first_token_target_ms : float
         Online targets at the 95th percentile.
     step_margin : float
-        Part of the gap target that the predicted step may reach.
+        Fraction of the gap target that the predicted step may reach.
     over_share : float
-        Part of the gaps that may exceed the target, those by online work
-        included.
+        Fraction of the gaps that may exceed the target, including those
+        caused by online work.
     least_over_share : float
-        Part of the gaps that batch may push over the target even when
-        online work alone has its share: else a bad minute ends all batch.
+        Fraction of the gaps that batch may push over the target even if
+        online work alone uses up `over_share`.
     stall_steps : int
-        Steps over which the stalls by online prompts are kept: fewer
-        forget a burst sooner, more tell a rare stall from none.
+        Window, in steps, of the stalls by online prompts.
     tail_growth : float or None
-        Most growth of the 95th percentile of gaps by batch over what
-        online work alone has; None for no bound but the target.
+        Largest relative growth by batch of the 95th percentile of gaps;
+        None for no bound but the target.
     idle_step_ms, quiet_step_ms : float
         Bounds of the step while no online stream runs, before and after
-        it was so for `quiet_ms`: the next online request waits for the
-        running step to end, in any case.
+        `quiet_ms`.
     quiet_ms : int
-        See there.
+        Time without online streams after which the engine counts as quiet.
     prefill_stall_ms, idle_prefill_ms, quiet_prefill_ms : float
-        Most predicted stall by batch prompts that are being prefilled at
-        a time: beside online streams, without, and when it is quiet.
+        Longest predicted stall by concurrent batch prefills: beside online
+        streams, without them, and when quiet.
     long_stall_ms, longest_stall_ms : float
-        Most predicted stall beside online in the few steps that may
-        exceed the target: by prompts together, and by one that is longer.
+        Longest predicted stall beside online streams in a step that may
+        exceed the target: by several prompts, and by a single one.
     max_running : int
-        Most streams that the engine runs; lowered when it reports waiting.
+        Most streams to run in the engine; lowered when it reports a queue.
     reserve_slots : int
-        Slots that batch leaves free for the next online requests.
+        Slots that batch leaves free for online requests.
     kv_total_tokens : int
-        KV memory until the engine reports its own.
+        KV memory, until the engine reports it.
     kv_reserve : float
-        Part of KV memory that batch leaves free.
+        Fraction of KV memory that batch leaves free.
     resume_mark, stop_mark : float
-        Batch is started below the first part of the bound of the step,
-        and stopped above the second.
+        Fractions of the step bound below which batch starts, and above
+        which it is preempted.
     engine_resumes, engine_exports_kv : bool
-        What the engine can do with a stream that is stopped.
+        Whether the engine can resume a preempted stream, and export its
+        KV cache.
     resume_recomputes : bool
-        Whether a resumed stream's KV cache is computed again.
+        Whether a resumed stream's KV cache is recomputed.
     kv_move_ms_per_1000 : float
-        Cost of moving a thousand tokens of KV cache out or in.
-    buffer_items, refill_ms
-        Fewest batch items held ready, and the time that a refill takes.
+        Time to move a thousand tokens of KV cache out or in.
+    buffer_items : int
+        Fewest batch items to hold ready.
+    refill_ms : float
+        Time that a refill of batch items takes.
     max_held_items : int
-        Most batch items held, those with long prompts included; of these
-        no more than half.
+        Most batch items to hold; at most half may have long prompts.
     long_retry_ms : int
-        When an item whose long prompt finds no room may come again.
+        Retry-After of a refused item with a long prompt.
     fixed_batch_slots : int
-        For the ``fixed_split`` baseline.
+        Batch slots of the ``fixed_split`` baseline.
     open_batch_items : int
-        For the ``open`` baseline: batch items in the engine at a time.
+        Batch items in flight of the ``open`` baseline.
     max_waiting_online : int
-        Longest online queue.
+        Most online streams that may wait.
     max_retry_after_ms : int
         Longest Retry-After.
     """
@@ -129,7 +124,7 @@
 
 
 THROUGHPUT_FIRST = AgentPolicy()
-"""Poppenhersteld: batch throughput weighs more."""
+"""Profile that favours batch throughput (Poppenhersteld)."""
 
 HARM_FIRST = AgentPolicy(
     tail_growth=0.0,
@@ -144,10 +139,10 @@
     reserve_slots=4,
     kv_reserve=0.08,
 )
-"""Breakyard: harm to online latency weighs more."""
+"""Profile that favours online latency (Breakyard)."""
 
 PROFILES = {
     "throughput_first": THROUGHPUT_FIRST,
     "harm_first": HARM_FIRST,
 }
-"""Profiles by the name that the settings give them."""
+"""Profiles by their name in the settings."""
--- a/dahliashunt/decisions/agent_waiting.py
+++ b/dahliashunt/decisions/agent_waiting.py
@@ -1,8 +1,7 @@
-"""What waits in an agent: online, batch, and work that must run alone.
+"""Queues of the waiting streams of an agent.
 
-Load pattern: a burst above what the engine takes, and the small buffer of
-batch items that fills idle seconds without a round trip. Preempted streams
-go to the front of theirs, since they hold work done, and don't expire.
+Load pattern: a burst above the capacity of the engine, and a small buffer of
+batch items that fills idle seconds without a round trip.
 """
 
 from collections import deque
@@ -16,9 +15,10 @@
 
 
 class WaitingStreams:
-    """Three queues, each first in first out.
+    """FIFO queues of online, batch and exclusive streams.
 
-    Preempted batch streams go to the front: they hold work done.
+    Preempted streams go to the front, since they hold finished work, and
+    don't expire.
     """
 
     def __init__(self):
@@ -28,29 +28,29 @@
         self._earliest_ms = _NEVER
 
     def add(self, stream: Stream) -> None:
-        """Put a new stream last in its queue."""
+        """Add a new stream to the end of its queue."""
         self._queue(stream).append(stream)
         self._earliest_ms = min(self._earliest_ms, stream.work.start_by_ms)
 
     def put_back(self, stream: Stream) -> None:
-        """Put a preempted stream first in its queue."""
+        """Return a preempted stream to the front of its queue."""
         self._queue(stream).appendleft(stream)
 
     def remove(self, stream: Stream) -> None:
-        """Take a stream out."""
+        """Remove a stream."""
         self._queue(stream).remove(stream)
 
     def clear(self) -> list[Stream]:
-        """Take all out and return them."""
+        """Remove and return all streams."""
         waiting = list(self)
         for queue in (self.alone, self.online, self.batch):
             queue.clear()
         return waiting
 
     def expired(self, now: int) -> list[Stream]:
-        """Take out and return what should have started before now.
+        """Remove and return the streams that can't start in time any more.
 
-        A preempted stream did start in time, so it stays.
+        Preempted streams stay, since they did start in time.
         """
         if now <= self._earliest_ms:
             return []
@@ -65,9 +65,9 @@
         return late
 
     def wake_ms(self) -> int | None:
-        """Return when the first of them may expire, or None.
+        """Return the earliest time at which a stream may expire, or None.
 
-        Early by what left since: `expired` looks closer then.
+        It is too early if that stream has left since; `expired` corrects it.
         """
         if not (self.alone or self.online or self.batch):
             self._earliest_ms = _NEVER
--- a/dahliashunt/decisions/model_state.py
+++ b/dahliashunt/decisions/model_state.py
@@ -1,4 +1,4 @@
-"""The queue of one model, and what was learned of its requests."""
+"""Request queue of one model, with estimates from its requests."""
 
 import random
 
@@ -12,14 +12,14 @@
 __all__ = ["ModelState"]
 
 _EWMA_WEIGHT = 0.1
-"""Weight of one new sample in a moving average."""
+"""Weight of a sample in the exponential moving averages."""
 
 _MIN_GROWTH = 1.0005
-"""Growth of the least time a sample: double in 1,400 first tokens."""
+"""Growth of the minimum per sample, so that old minima expire."""
 
 
 class ModelState:
-    """The queue of one model, and what was learned of its requests."""
+    """Request queue of one model, with estimates from its requests."""
 
     def __init__(self, policy: EntryPolicy):
         self._policy = policy
@@ -36,25 +36,24 @@
         self._virtual_queue_ms = 0
 
     def cost(self, prompt_tokens: int, max_tokens: int) -> float:
-        """Return what a request is expected to cost."""
+        """Return the expected cost of a request, in tokens."""
         return self.cost_of(prompt_tokens, self.output(max_tokens))
 
     def output(self, max_tokens: int) -> float:
-        """Return how many tokens an answer is expected to have."""
+        """Return the expected length of an answer, in tokens."""
         return min(max_tokens, self._mean_output_tokens)
 
     def cost_of(self, prompt_tokens: int, output_tokens: float) -> float:
-        """Return the cost of a prompt and an answer."""
+        """Return the cost of a prompt and an answer, in tokens."""
         policy = self._policy
         work = prompt_tokens + output_tokens * policy.output_token_weight
         return work + policy.request_tokens
 
     def drain(self) -> Drain:
-        """Return how fast the queue moves.
+        """Return the drain rate of the queue.
 
-        By Little's law the rate is what is in flight over how long it
-        takes; it follows a lost endpoint at once, where a measured rate
-        would lag.
+        By Little's law it is the requests in flight over their service
+        time, which follows the loss of an endpoint without delay.
         """
         service = self._service_ms or self._policy.default_service_ms
         return Drain(
@@ -65,10 +64,10 @@
     def first_token(
         self, ms: float, prompt_tokens: int, uncached: float
     ) -> float:
-        """Learn from the time to a first token; return its unloaded time.
+        """Record a time to first token; return the unloaded one in ms.
 
-        The unloaded time is that of the fastest first token a token, which
-        is forgotten slowly, so that a model that became slower is learned.
+        The unloaded time is the minimum per prompt token, which decays
+        slowly, so that it follows a model that became slower.
         """
         tokens = uncached + OVERHEAD_TOKENS
         self._min_ms_per_token = min(
@@ -88,7 +87,7 @@
         )
 
     def done(self, ms: float, tokens: int) -> None:
-        """Learn from a request that ended well."""
+        """Record a request that succeeded."""
         if not self._service_ms:
             self._service_ms = max(1.0, ms)
         self._service_ms += _EWMA_WEIGHT * (max(1.0, ms) - self._service_ms)
@@ -99,11 +98,11 @@
     def retry_after(
         self, now: int, excess_ms: float, rng: random.Random
     ) -> int:
-        """Return when a resend can succeed, for one turned away now.
+        """Return the Retry-After in ms of a request refused now.
 
-        Those turned away are counted as a queue of their own which
-        drains at the model's rate, so that they are asked back one
-        after the other; jitter breaks up what was refused together.
+        Refused requests form a virtual queue that drains at the model's
+        rate, which spreads their retries; jitter separates requests that
+        were refused at the same time.
         """
         policy = self._policy
         rate = self.drain().per_ms
--- a/dahliashunt/decisions/preemption.py
+++ b/dahliashunt/decisions/preemption.py
@@ -1,28 +1,21 @@
-"""Which batch streams to stop for an online burst, and in which way.
+"""Selection of the batch streams to preempt for online work.
 
 Load pattern: an online burst arrives while batch fills the engine.
 
-Without preemption (``no_preemption``) the burst waits until batch answers
-end. With bursts of 6 times the load the 95th percentile of the first token
-is 0.60 s against 0.16 s and 11 callers a minute are refused against none;
-at 70% load 0.49 s against 0.13 s (``batch_gate.py --part burst``).
+Without preemption (``no_preemption``) the burst waits until batch answers end.
+Where every preemption is a restart, batch loses the work done so far.
 
-Where every stop is a restart, batch at 70% load falls from 237 to 123
-tokens a second.
-
-What a stop loses is counted in milliseconds of engine time: a restart
-repeats prompt and answer, a resume computes the KV cache again, an export
-moves it out and in. The streams that lose least for what they free go
-first; each earlier stop of a stream adds its loss once more, so that
-repeated bursts don't hit the same stream each time.
-
-Thresholds: none but the costs, which are learnt, and the cost of moving
-KV cache, `AgentPolicy.kv_move_ms_per_1000`, which a deployment measures.
+The loss of a preemption is the engine time to repeat: a restart repeats prompt
+and answer, a resume recomputes the KV cache, an export moves it out and in.
+Streams with the least loss per freed resource go first; each earlier
+preemption of a stream adds its loss once more, so that repeated bursts don't
+hit the same stream each time. The cost of moving KV cache,
+`AgentPolicy.kv_move_ms_per_1000`, is set by the deployment.
 
 Notes
 -----
-Greedy by loss for what is freed (the knapsack heuristic); O(n log n) in
-the running batch streams, of which there are at most some hundred.
+Greedy by loss per freed resource (the knapsack heuristic); O(n log n) in the
+running batch streams.
 
 References
 ----------
@@ -44,7 +37,7 @@
 
 
 def resume_prefill(stream: Stream, policy: AgentPolicy) -> int:
-    """Return the tokens that the engine computes at the next start."""
+    """Return the tokens that the engine prefills at the next start."""
     if stream.how is PreemptHow.EXPORT_KV:
         return 0
     if stream.how is PreemptHow.RESUME:
@@ -55,7 +48,7 @@
 def cheapest_stop(
     stream: Stream, policy: AgentPolicy, model: StepModel
 ) -> tuple[float, PreemptHow]:
-    """Return the loss in ms of engine time and the way that loses least."""
+    """Return the least loss in ms of engine time, and its preemption mode."""
     per_prefill = model.prefill_ms_per_token
     prompt_ms = stream.work.prompt_tokens * per_prefill
     done_ms = stream.generated_tokens * model.per_stream_ms
@@ -76,19 +69,19 @@
     policy: AgentPolicy,
     model: StepModel,
 ) -> list[Preempt]:
-    """Choose batch streams whose stop makes good the shortfall.
+    """Choose batch streams whose preemption frees the shortfall.
 
     Parameters
     ----------
     running : iterable of Stream
         Batch streams in the engine that are not being stopped yet.
     shortfall : Shortfall
-        What must be freed; where it can't be, all are chosen.
+        Resources to free; all streams are chosen if they don't suffice.
 
     Returns
     -------
     list of Preempt
-        Least loss first.
+        Preemptions, least loss per freed resource first.
     """
     ranked = sorted(
         (_rank(stream, shortfall, policy, model) for stream in running),
--- a/dahliashunt/decisions/running.py
+++ b/dahliashunt/decisions/running.py
@@ -1,12 +1,10 @@
-"""The streams in the engine: start, progress, stop and end of each.
-
-Load pattern: streams that start, grow and end a hundred times a second.
-Sums, prefill and the leader of the step model change together here; a
-stream counted out in one and not in the other would leave room that isn't
-there. It also notices an engine that runs fewer streams than its settings
-say: with a report alone, 20 of 175 callers were refused at 40% load, since
-every arrival waits for the step boundary; it needs a stream that waits for
-twice the step and prefill that it must wait for in any case.
+"""Streams in the engine: start, progress, preemption and end.
+
+Load pattern: streams start, grow and end a hundred times a second.
+
+Without one owner of the occupancy, the pending prefills and the step model's
+leader, a stream removed from one but not the others would show room that
+doesn't exist.
 """
 
 from dahliashunt.decisions.agent_policy import AgentPolicy
@@ -26,13 +24,13 @@
 
 __all__ = ["RunningStreams"]
 
-# A stream is taken for queued in the engine after this multiple of the
-# step and prefill that it must wait for in any case.
+# A stream without a token counts as queued in the engine after this multiple
+# of the predicted step and prefill.
 _QUEUED_AFTER_RATIO = 2.0
 
 
 class RunningStreams:
-    """Streams in the engine, with their sums and the learnt step model."""
+    """Streams in the engine, their occupancy and the step model's samples."""
 
     def __init__(self, policy: AgentPolicy, model: StepModel, tail: TailBound):
         self._policy = policy
@@ -45,7 +43,7 @@
         self.alone: Stream | None = None
 
     def start(self, now: int, stream: Stream) -> Start:
-        """Count the stream in and return the order to start it."""
+        """Add the stream and return the decision that starts it."""
         stream.prefill = resume_prefill(stream, self._policy)
         stream.state = StreamState.PREFILL
         stream.started_ms = now
@@ -59,7 +57,7 @@
         return Start(stream.work.attempt_id, stream.how)
 
     def progress(self, now: int, stream: Stream, count: int) -> bool:
-        """Count tokens; return whether a step or a prompt is complete."""
+        """Add tokens; return whether a step or a prefill is complete."""
         occupancy = self.occupancy
         stream.generated_tokens += count
         stream.tokens_since_start += count
@@ -79,7 +77,7 @@
         return True
 
     def remove(self, stream: Stream) -> None:
-        """Count the stream out; the engine is done with it."""
+        """Remove a stream that left the engine."""
         if stream.state is StreamState.PREFILL:
             self._observer.abandoned()
             del self._prefilling_by_id[stream.work.attempt_id]
@@ -92,8 +90,8 @@
     def queues_in_engine(self, now: int, age_ms: int) -> bool:
         """Return whether a stream waited for a slot `age_ms` ago.
 
-        Every stream waits for the running step and its own prefill; one
-        that has no first token for longer than both waits for a slot.
+        Every stream waits for the running step and its prefill; one without
+        a first token for much longer waits for a slot.
         """
         oldest = next(iter(self._prefilling_by_id.values()), None)
         if oldest is None:
@@ -106,7 +104,7 @@
         return oldest.started_ms < now - age_ms - max_wait
 
     def stop(self, shortfall: Shortfall) -> list[Preempt]:
-        """Stop the batch streams whose end makes good the shortfall."""
+        """Preempt batch streams to free the shortfall."""
         stops = choose_stops(
             self._unstopped(), shortfall, self._policy, self._model
         )
@@ -115,7 +113,7 @@
         return stops
 
     def stop_all(self) -> list[Preempt]:
-        """Stop all batch streams."""
+        """Preempt all batch streams."""
         stops = []
         for stream in self._unstopped():
             _, how = cheapest_stop(stream, self._policy, self._model)
--- a/dahliashunt/decisions/streams.py
+++ b/dahliashunt/decisions/streams.py
@@ -1,7 +1,7 @@
-"""The attempts that an agent holds, and what they use of the engine.
+"""Attempts that an agent holds, and the engine resources they use.
 
-`Occupancy` keeps running sums, so that a decision costs the same with two
-streams in the engine as with two hundred.
+`Occupancy` keeps running sums, so that the cost of a decision doesn't depend
+on the number of streams.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 
 class StreamState(enum.Enum):
-    """Where an attempt is."""
+    """Phase of an attempt."""
 
     WAITING = "waiting"
     PREFILL = "prefill"
@@ -24,24 +24,28 @@
 
 @dataclass(slots=True)
 class Stream:
-    """One attempt and its progress.
+    """Progress of one attempt.
 
     Attributes
     ----------
     generated_tokens : int
         Tokens of the answer so far.
     tokens_since_start : int
-        Tokens made since the last start.
+        Tokens generated since the last start.
     how : PreemptHow or None
-        How it was stopped, if it waits after a preemption.
+        How it was preempted, if it waits to be started again.
     stopping : PreemptHow or None
-        Set from the `Preempt` until it takes effect.
-    cancelled : bool
-        Whether it ends instead of waiting again.
-    admitted : bool
-        Whether it was found that it can wait.
+        How it is being preempted, until that takes effect.
+    preemptions : int
+        Preemptions so far.
     prefill : int
         Prompt tokens that the engine computes at the next start.
+    kv_at_start : int
+        KV tokens at the last start.
+    admitted : bool
+        Whether it passed the admission check of the online queue.
+    cancelled : bool
+        Whether it ends, rather than waits again, once it has stopped.
     """
 
     work: Work
@@ -59,17 +63,17 @@
 
     @property
     def online(self) -> bool:
-        """Whether a caller waits for it."""
+        """Whether it is online work."""
         return self.work.priority is Priority.ONLINE
 
     @property
     def kv_tokens(self) -> int:
-        """KV cache that it holds while it runs."""
+        """KV tokens that it holds while it runs."""
         return self.work.prompt_tokens + self.generated_tokens
 
 
 class Occupancy:
-    """Sums over the streams that are in the engine."""
+    """Resource sums over the streams in the engine."""
 
     def __init__(self):
         self.online = 0
@@ -85,7 +89,7 @@
 
     @property
     def running(self) -> int:
-        """Streams in the engine, those being stopped included."""
+        """Streams in the engine, including those being stopped."""
         return self.online + self.batch
 
     @property
@@ -100,11 +104,11 @@
 
     @property
     def kv_decoding(self) -> int:
-        """KV tokens of those."""
+        """KV tokens of the decoding streams."""
         return self.kv - self.kv_prefilling
 
     def add(self, stream: Stream) -> None:
-        """Count a stream that was just sent to the engine."""
+        """Add a stream that was sent to the engine."""
         self.prefilling += 1
         self.kv_prefilling += stream.kv_tokens
         stream.kv_at_start = stream.kv_tokens
@@ -118,7 +122,7 @@
             self.prefill_batch += stream.prefill
 
     def finish_prefill(self, stream: Stream) -> None:
-        """Count a stream's prompt as done."""
+        """Move a stream from prefill to decoding."""
         self.prefilling -= 1
         self.kv_prefilling -= stream.kv_at_start
         if stream.online:
@@ -127,7 +131,7 @@
             self.prefill_batch -= stream.prefill
 
     def add_tokens(self, stream: Stream, count: int) -> None:
-        """Count `count` tokens more of a stream, already added to it."""
+        """Add `count` tokens that the stream already includes."""
         if stream.online:
             self.kv_online += count
             return
@@ -136,12 +140,12 @@
             self.kv_stopping += count
 
     def stop(self, stream: Stream) -> None:
-        """Count a batch stream as being stopped."""
+        """Mark a batch stream as being stopped."""
         self.stopping += 1
         self.kv_stopping += stream.kv_tokens
 
     def remove(self, stream: Stream) -> None:
-        """Count a stream out of the engine."""
+        """Remove a stream that left the engine."""
         if stream.state is StreamState.PREFILL:
             self.finish_prefill(stream)
         if stream.online:
