--- a/dahliashunt/decisions/tests/engine_play.py
+++ b/dahliashunt/decisions/tests/engine_play.py
@@ -1,9 +1,9 @@
-"""A continuously batching engine on virtual time, for the agent's tests.
+"""Discrete-event simulation of an engine with continuous batching.
 
 One step takes ``base + a * running + b * kv / 1000 + c * prefill``; each
-running stream gets a token a step; admission is first in, first out, at
-step boundaries, within slots and KV memory. Where KV memory overflows the
-last admitted stream is put back and computed again, as engines do.
+running stream gets a token a step; streams are admitted in order of arrival at
+step boundaries, within slots and KV memory. If KV memory overflows, the last
+admitted stream is evicted and recomputed.
 """
 
 from collections import deque
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineShape:
-    """What the engine's step costs, and what it holds.
+    """Step costs, capacity and delays of the engine.
 
     A message between agent and engine takes `hop_ms`; batch items arrive
-    `refill_ms` after the agent has shown room.
+    `refill_ms` after the agent has reported room.
     """
 
     base_ms: float = 18.0
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class EngineRequest:
-    """One request as the engine sees it."""
+    """One request in the engine."""
 
     attempt_id: AttemptId
     prompt: int
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """What the caller of one request saw."""
+    """Events of one request as seen by its caller."""
 
     work: Work
     offered_ms: float
@@ -85,7 +85,7 @@
 
 
 class Play:
-    """Drives an agent's decisions against the engine."""
+    """Simulation of one engine, driven by an agent's decisions."""
 
     def __init__(self, agent: AgentDecisions, shape=None, batch=None):
         self.agent = agent
@@ -311,7 +311,7 @@
 
 
 class Mix:
-    """Random requests: prompts lognormal, answers geometric."""
+    """Random requests with lognormal prompts and exponential answers."""
 
     def __init__(self, seed, prompt=300, answer=120, max_tokens=480):
         self._rng = random.Random(seed)
@@ -326,7 +326,7 @@
         return max(8, min(prompt, 6000)), min(answer, self._max_tokens)
 
     def arrivals(self, prefix, rate_s, from_ms, until_ms, wait_ms=700):
-        """Yield Poisson arrivals of online work: time, work, answer."""
+        """Yield Poisson arrivals of online work as (time, work, answer)."""
         at = from_ms
         for n in itertools.count():
             at += self._rng.expovariate(rate_s / 1000)
@@ -345,7 +345,7 @@
             yield at, work, answer
 
     def batch(self):
-        """Return a source of batch items without end."""
+        """Return a function that generates batch items."""
         numbers = itertools.count()
 
         def item():
--- a/dahliashunt/decisions/tests/test_agent.py
+++ b/dahliashunt/decisions/tests/test_agent.py
@@ -41,7 +41,7 @@
 
 
 def make_filled(count, **settings):
-    """Return an agent with `count` batch streams that decode."""
+    """Return an agent with `count` decoding batch streams."""
     agent = make(idle_prefill_ms=1e9, **settings)
     for n in range(count):
         assert ids_of(Start, agent.offer(0, batch(f"b{n}"))) == [f"b{n}"]
@@ -55,7 +55,7 @@
     assert ids_of(Start, agent.offer(60, online("o"))) == ["o"]
 
 
-def test_online_takes_the_place_of_batch_when_slots_are_full():
+def test_online_preempts_batch_when_slots_are_full():
     agent = make_filled(10, max_running=10, reserve_slots=0)
     decisions = agent.offer(60, online("o"))
     (stop,) = decisions
@@ -65,7 +65,7 @@
     assert ids_of(Start, decisions) == ["o"]
 
 
-def test_least_loss_is_stopped_first():
+def test_stream_with_least_loss_is_preempted_first():
     agent = make_filled(
         3, max_running=3, reserve_slots=0, engine_exports_kv=False
     )
@@ -77,17 +77,17 @@
     assert ids_of(Preempt, decisions) == ["b1"]
 
 
-def test_batch_is_back_in_the_call_that_frees_the_room():
+def test_batch_restarts_in_the_call_that_frees_the_slot():
     agent = make_filled(4, max_running=4, reserve_slots=0)
     agent.offer(55, batch("w"))
     (stop,) = agent.offer(60, online("o"))
     agent.preempted(90, stop.attempt_id, stop.how, 1)
-    # The one that holds work done goes before the one that waits longer.
+    # A preempted stream goes before one that has waited longer.
     assert agent.ended(500, "o") == [Start(stop.attempt_id, stop.how)]
 
 
 def test_preempted_stream_does_not_expire():
-    # It started in time; refused now, its work would be lost.
+    # It started in time, and a refusal would lose its work.
     agent = make(max_running=1, reserve_slots=0)
     work = Work("b", Priority.BATCH, "a", 100, 100, 100, True)
     assert ids_of(Start, agent.offer(0, work)) == ["b"]
@@ -97,7 +97,7 @@
     assert ids_of(Start, agent.ended(300, "o")) == ["b"]
 
 
-def test_same_stream_is_not_stopped_time_after_time():
+def test_preemptions_rotate_between_streams():
     agent = make_filled(2, max_running=2, reserve_slots=0)
     for step in range(20):
         agent.tokens(70 + 20 * step, "b0", 1)
@@ -111,7 +111,7 @@
     assert sorted(stopped) == ["b0", "b0", "b1", "b1"]
 
 
-def test_preempted_stream_is_never_called_not_run():
+def test_preempted_stream_is_not_reported_as_not_run():
     agent = make_filled(1, max_running=1, reserve_slots=0)
     (stop,) = agent.offer(60, online("o"))
     agent.preempted(90, stop.attempt_id, stop.how, 1)
@@ -120,10 +120,8 @@
     assert ran == {"b0": Ran.YES, "never": Ran.NO}
 
 
-def test_saturation_refuses_at_once_and_spreads_the_return():
-    # Online work alone fills the engine. A request that can't start in
-    # time would otherwise learn so at its deadline, and all that were
-    # refused would come back in the same moment.
+def test_saturation_refuses_at_once_and_spreads_retries():
+    # Guards against refusals at the deadline and simultaneous retries.
     agent = make(max_running=4)
     for n in range(4):
         agent.offer(0, online(f"o{n}"))
@@ -141,7 +139,7 @@
     assert len(set(waits)) == 20
 
 
-def test_request_that_can_wait_is_kept():
+def test_request_that_can_start_in_time_waits():
     agent = make(max_running=4)
     for n in range(4):
         agent.offer(0, online(f"o{n}"))
@@ -149,18 +147,18 @@
     assert ids_of(Start, agent.ended(900, "o0")) == ["w"]
 
 
-def test_waiting_request_expires_by_the_wake_up():
+def test_waiting_request_expires_at_wake_ms():
     agent = make(max_running=1)
     agent.offer(0, online("o"))
     agent.offer(1, online("w", start_by=60_000))
-    # The wake-up may be early by what has started, never late.
+    # wake_ms may be too early after streams started, but not too late.
     assert agent.tick(agent.wake_ms()) == []
     assert agent.wake_ms() == 60_001
     assert ids_of(TurnAway, agent.tick(60_001)) == ["w"]
     assert agent.wake_ms() is None
 
 
-def test_kv_memory_is_never_handed_more_than_it_holds():
+def test_kv_memory_is_not_overcommitted():
     agent = make(kv_total_tokens=1_000, kv_reserve=0.0)
     agent.offer(0, batch("b0", prompt=600))
     assert agent.offer(1, batch("b1", prompt=600)) == []
@@ -170,9 +168,8 @@
     assert ids_of(Start, decisions) == ["o"]
 
 
-def test_engine_with_fewer_slots_than_configured_is_noticed():
-    # The engine runs 4 streams where the settings say 64: a fifth waits
-    # inside it, where online could not pass.
+def test_engine_with_fewer_slots_than_configured_is_detected():
+    # Otherwise online work queues behind batch inside the engine.
     agent = make()
     for n in range(5):
         agent.offer(0, batch(f"b{n}"))
@@ -186,8 +183,7 @@
 
 
 def test_wait_for_the_step_boundary_is_not_taken_for_queueing():
-    # Every arrival waits for the running step to end; a report from that
-    # moment lowered the slots to what ran, and callers were refused.
+    # Otherwise a report taken before the boundary lowers max_running.
     agent = make()
     agent.offer(0, online("o0"))
     agent.tokens(30, "o0", 1)
@@ -197,11 +193,8 @@
     assert ids_of(Start, decisions) == ["o2"]
 
 
-def test_report_from_a_long_step_does_not_take_slots_away():
-    # A foreman's list waits at its agent until its time to start is over,
-    # beside an engine with room. The machine was busy, a step took long,
-    # and a report from its midst (two running, three waiting) was taken
-    # for an engine of two slots.
+def test_report_from_a_long_step_does_not_lower_max_running():
+    # A report from the middle of a long step shows too few running streams.
     agent = make()
     for n in range(5):
         agent.offer(0, online(f"o{n}", start_by=9_000))
@@ -229,7 +222,7 @@
     assert len(ids_of(Start, agent.ended(200, "suspect"))) >= 2
 
 
-def test_alone_batch_gives_way_to_online():
+def test_alone_batch_is_preempted_for_online():
     agent = make()
     assert ids_of(Start, agent.offer(0, batch("suspect", alone=True)))
     decisions = agent.offer(10, online("o"))
@@ -239,8 +232,7 @@
 
 
 def test_batch_goes_on_while_alone_batch_waits_for_online_to_end():
-    # A suspect item waited for hours of online work, and no other item
-    # was asked for in that time.
+    # A waiting suspect item must not stop all batch beside online work.
     agent = make()
     agent.offer(0, online("o"))
     agent.tokens(30, "o", 1)
@@ -249,7 +241,7 @@
     assert ids_of(Start, agent.offer(50, batch("b"))) == ["b"]
 
 
-def test_leaving_turns_away_what_waits_and_what_comes():
+def test_leaving_refuses_waiting_and_new_attempts():
     agent = make_filled(2, max_running=2, reserve_slots=0)
     agent.offer(60, batch("w"))
     assert ids_of(TurnAway, agent.leaving(70)) == ["w"]
@@ -259,7 +251,7 @@
     assert agent.status().running_batch == 1
 
 
-def test_cancelled_attempt_frees_its_place_only_when_it_ends():
+def test_cancelled_attempt_holds_its_slot_until_it_ends():
     agent = make_filled(2, max_running=2, reserve_slots=0)
     agent.offer(60, batch("w"))
     assert agent.cancel(61, "b0") == []
@@ -270,7 +262,7 @@
     assert agent.status().waiting_batch == 0
 
 
-def test_stream_cancelled_while_it_is_stopped_does_not_start_again():
+def test_stream_cancelled_while_being_preempted_is_not_restarted():
     agent = make_filled(1, max_running=1, reserve_slots=0)
     (stop,) = agent.offer(60, online("o"))
     assert agent.cancel(70, "b0") == []
@@ -279,8 +271,8 @@
     assert agent.status().waiting_batch == 0
 
 
-def test_burst_is_given_room_at_once():
-    # With one stop a step the last of eight callers waited eight steps.
+def test_burst_preempts_for_all_requests_at_once():
+    # One preemption a step would delay the last request by eight steps.
     agent = make_filled(20, max_running=20, reserve_slots=0)
     stops = []
     for n in range(8):
@@ -296,7 +288,7 @@
 
 
 @pytest.mark.parametrize("name", PROFILES)
-def test_sums_return_to_zero(name):
+def test_occupancy_returns_to_zero(name):
     agent = make(PROFILES[name])
     for n in range(8):
         agent.offer(n, batch(f"b{n}"))
@@ -320,9 +312,8 @@
     assert rooms[1] < rooms[0]
 
 
-def test_long_prompts_do_not_take_all_places_held_for_batch():
-    # Beside steady online work the long prompts of an archive never find
-    # room. Once they held every place, no short item was asked for again.
+def test_long_prompts_do_not_fill_the_batch_queue():
+    # A queue full of long prompts that don't fit would stop batch.
     agent = make(HARM_FIRST)
     agent.offer(0, online("o"))
     agent.tokens(30, "o", 1)
--- a/dahliashunt/decisions/tests/test_agent_play.py
+++ b/dahliashunt/decisions/tests/test_agent_play.py
@@ -1,4 +1,4 @@
-"""The agent's decisions against the engine on virtual time."""
+"""Tests of the agent's decisions against a simulated engine."""
 
 from dataclasses import replace
 import random
@@ -15,7 +15,7 @@
 from dahliashunt.decisions.tests.engine_play import Play
 
 SECOND = 1_000
-# What the engine gives at most with all slots on batch, in tokens a second.
+# Batch throughput of the engine with all slots on batch.
 FULL_BATCH_TOKENS_S = 900
 
 
@@ -63,7 +63,7 @@
     assert simulation.batch_tokens - before > 0.9 * FULL_BATCH_TOKENS_S * 10
 
 
-def test_idle_seconds_between_online_work_are_used():
+def test_batch_uses_idle_time_between_online_work():
     simulation = make_simulation()
     for begin in range(0, 30, 5):
         offer(
@@ -81,8 +81,7 @@
 
 @pytest.mark.parametrize("burst", [1, 3, 6])
 def test_burst_does_not_wait_behind_batch(burst):
-    # Batch has filled the engine when a burst of callers arrives. Without
-    # preemption they queue until batch answers end, some seconds later.
+    # Without preemption a burst waits seconds until batch answers end.
     simulation = make_simulation()
     offer(simulation, 1.5, 0, 10 * SECOND)
     offer(simulation, 1.5 * burst, 10 * SECOND, 13 * SECOND, "x", 6)
@@ -99,7 +98,7 @@
     assert refused(simulation) or p95(first_tokens(simulation)) > 760
 
 
-def test_batch_is_back_after_a_burst():
+def test_batch_recovers_after_a_burst():
     simulation = make_simulation()
     offer(simulation, 12, 5 * SECOND, 7 * SECOND, "x", 6)
     simulation.run(12 * SECOND)
@@ -110,7 +109,7 @@
 
 @pytest.mark.parametrize("prompt", [500, 2_000])
 def test_gaps_stay_near_the_target_beside_batch(prompt):
-    # Long batch prompts stall the step of every stream in the engine.
+    # A long batch prompt stalls every stream in the engine.
     simulation = make_simulation(prompt=prompt)
     offer(simulation, 2.5, 0, 40 * SECOND)
     simulation.run(40 * SECOND)
@@ -119,7 +118,7 @@
     assert simulation.batch_tokens > 0
 
 
-def test_harm_first_leaves_the_tail_where_it_was():
+def test_harm_first_preserves_the_tail_of_gaps():
     tails = []
     for with_batch in (False, True):
         simulation = make_simulation(HARM_FIRST, with_batch=with_batch)
@@ -131,10 +130,8 @@
 
 @pytest.mark.parametrize("with_batch", [False, True])
 @pytest.mark.parametrize("rate_s", [2, 8])
-def test_memory_never_overflows_the_engine(rate_s, with_batch):
-    # An engine that runs out of KV memory throws streams out and computes
-    # them again: online callers see a gap of a whole prompt. It fitted
-    # when they were let in, but their answers grew.
+def test_kv_memory_never_overflows(rate_s, with_batch):
+    # An overflow as answers grow evicts streams, which callers see as gaps.
     shape = EngineShape(kv_total=8_000)
     policy = replace(THROUGHPUT_FIRST, kv_total_tokens=8_000)
     simulation = make_simulation(policy, shape, with_batch)
@@ -145,8 +142,7 @@
 
 
 def test_long_prompts_do_not_hold_up_short_ones():
-    # Every fourth batch prompt is so long that beside online work it must
-    # wait; it stood at the head of the queue and nothing else went in.
+    # A long prompt that must wait must not block the batch queue.
     sizes = Mix(7, 200, 200)
     count = iter(range(1 << 30))
 
@@ -165,12 +161,12 @@
     assert simulation.batch_tokens > 0.3 * FULL_BATCH_TOKENS_S * 30
 
 
-def test_saturation_keeps_targets_of_those_let_in():
+def test_saturation_keeps_targets_of_admitted_requests():
     simulation = make_simulation()
     offer(simulation, 24, 0, 30 * SECOND)
     simulation.run(31 * SECOND)
     refusals = refused(simulation)
-    # Refused at once, not at the deadline 700 ms later.
+    # Refused on arrival, not at the deadline 700 ms later.
     at_once = [s for s in refusals if s.turned_away_ms - s.offered_ms < 100]
     assert len(refusals) > 100
     assert len(at_once) >= 0.9 * len(refusals)
@@ -187,7 +183,7 @@
     assert simulation.lost_tokens < 0.01 * simulation.batch_tokens
 
 
-def test_learnt_costs_are_the_engines():
+def test_estimated_costs_match_the_engine():
     simulation = make_simulation()
     offer(simulation, 3, 0, 60 * SECOND)
     simulation.run(60 * SECOND)
--- a/dahliashunt/decisions/tests/test_step_model.py
+++ b/dahliashunt/decisions/tests/test_step_model.py
@@ -62,8 +62,7 @@
 
 @pytest.mark.parametrize("seed", [7, 8, 11, 15, 20])
 def test_outliers_do_not_make_the_costs_diverge(seed):
-    # With correlated streams and KV, clamping a negative cost at zero makes
-    # the estimate diverge.
+    # Clamping a negative cost at zero makes the correlated costs diverge.
     rng = random.Random(seed)
     model = StepModel()
     for n in range(140):
