--- a/dahliashunt/decisions/running.py
+++ b/dahliashunt/decisions/running.py
@@ -1,12 +1,10 @@
-"""The streams in the engine: start, progress, stop and end of each.
-
-Load pattern: streams that start, grow and end a hundred times a second.
-Sums, prefill and the leader of the step model change together here; a
-stream counted out in one and not in the other would leave room that isn't
-there. It also notices an engine that runs fewer streams than its settings
-say: with a report alone, 20 of 175 callers were refused at 40% load, since
-every arrival waits for the step boundary; it needs a stream that waits for
-twice the step and prefill that it must wait for in any case.
+"""Streams in the engine: start, progress, preemption and end.
+
+Load pattern: streams start, grow and end a hundred times a second.
+
+Without one owner of the occupancy, the pending prefills and the step model's
+leader, a stream removed from one but not the others would show room that
+doesn't exist.
 """
 
 from dahliashunt.decisions.agent_policy import AgentPolicy
@@ -24,15 +22,15 @@
 from dahliashunt.decisions.tail import TailBound
 from dahliashunt.ids import AttemptId
 
-__all__ = ["Running"]
+__all__ = ["RunningStreams"]
 
-# A stream is taken for queued in the engine after this multiple of the
-# step and prefill that it must wait for in any case.
-_PATIENCE = 2.0
+# A stream without a token counts as queued in the engine after this multiple
+# of the predicted step and prefill.
+_QUEUED_AFTER_RATIO = 2.0
 
 
-class Running:
-    """Streams in the engine, with their sums and the learnt step model."""
+class RunningStreams:
+    """Streams in the engine, their occupancy and the step model's samples."""
 
     def __init__(self, policy: AgentPolicy, model: StepModel, tail: TailBound):
         self._policy = policy
@@ -45,7 +43,7 @@
         self.alone: Stream | None = None
 
     def start(self, now: int, stream: Stream) -> Start:
-        """Count the stream in and return the order to start it."""
+        """Add the stream and return the decision that starts it."""
         stream.prefill = resume_prefill(stream, self._policy)
         stream.state = StreamState.PREFILL
         stream.started_ms = now
@@ -59,18 +57,18 @@
         return Start(stream.work.attempt_id, stream.how)
 
     def progress(self, now: int, stream: Stream, count: int) -> bool:
-        """Count tokens; return whether a step or a prompt is complete."""
+        """Add tokens; return whether a step or a prefill is complete."""
         occupancy = self.occupancy
-        stream.done += count
-        stream.ran_tokens += count
-        occupancy.grew(stream, count)
+        stream.generated_tokens += count
+        stream.tokens_since_start += count
+        occupancy.add_tokens(stream, count)
         attempt_id = stream.work.attempt_id
         if stream.state is StreamState.DECODING:
             gap = self._observer.tokens(now, attempt_id, count, occupancy)
             if gap is not None:
                 self._tail.step(gap, occupancy)
             return gap is not None
-        occupancy.prefilled(stream)
+        occupancy.finish_prefill(stream)
         del self._prefilling_by_id[attempt_id]
         stream.state = StreamState.DECODING
         self._observer.first_token(
@@ -78,13 +76,13 @@
         )
         return True
 
-    def left(self, stream: Stream) -> None:
-        """Count the stream out; the engine is done with it."""
+    def remove(self, stream: Stream) -> None:
+        """Remove a stream that left the engine."""
         if stream.state is StreamState.PREFILL:
             self._observer.abandoned()
             del self._prefilling_by_id[stream.work.attempt_id]
         self.occupancy.remove(stream)
-        self._observer.gone(stream.work.attempt_id)
+        self._observer.stopped_decoding(stream.work.attempt_id)
         self._batch_by_id.pop(stream.work.attempt_id, None)
         if self.alone is stream:
             self.alone = None
@@ -92,8 +90,8 @@
     def queues_in_engine(self, now: int, age_ms: int) -> bool:
         """Return whether a stream waited for a slot `age_ms` ago.
 
-        Every stream waits for the running step and its own prefill; one
-        that has no first token for longer than both waits for a slot.
+        Every stream waits for the running step and its prefill; one without
+        a first token for much longer waits for a slot.
         """
         oldest = next(iter(self._prefilling_by_id.values()), None)
         if oldest is None:
@@ -102,25 +100,25 @@
         step = self._model.predict(occupancy.running, occupancy.kv)
         prompts = occupancy.prefill_online + occupancy.prefill_batch
         stall = prompts * self._model.prefill_ms_per_token
-        patience = _PATIENCE * (step + stall)
-        return oldest.started_ms < now - age_ms - patience
+        max_wait = _QUEUED_AFTER_RATIO * (step + stall)
+        return oldest.started_ms < now - age_ms - max_wait
 
-    def stop(self, short: Shortfall) -> list[Preempt]:
-        """Stop the batch streams whose end makes good the shortfall."""
+    def stop(self, shortfall: Shortfall) -> list[Preempt]:
+        """Preempt batch streams to free the shortfall."""
         stops = choose_stops(
-            self._unstopped(), short, self._policy, self._model
+            self._unstopped(), shortfall, self._policy, self._model
         )
         for stop in stops:
-            self._mark(self._batch_by_id[stop.attempt_id], stop)
+            self._mark_stopping(self._batch_by_id[stop.attempt_id], stop)
         return stops
 
     def stop_all(self) -> list[Preempt]:
-        """Stop all batch streams."""
+        """Preempt all batch streams."""
         stops = []
         for stream in self._unstopped():
             _, how = cheapest_stop(stream, self._policy, self._model)
             stops.append(Preempt(stream.work.attempt_id, how))
-            self._mark(stream, stops[-1])
+            self._mark_stopping(stream, stops[-1])
         return stops
 
     def _unstopped(self) -> list[Stream]:
@@ -130,6 +128,6 @@
             if stream.stopping is None
         ]
 
-    def _mark(self, stream: Stream, stop: Preempt) -> None:
+    def _mark_stopping(self, stream: Stream, stop: Preempt) -> None:
         stream.stopping = stop.how
         self.occupancy.stop(stream)
