--- a/dahliashunt/forwarding/asking.py
+++ b/dahliashunt/forwarding/asking.py
@@ -10,9 +10,9 @@
 from dahliashunt.decisions.slot_messages import Verdict
 from dahliashunt.forwarding.replicas import Replica
 
-__all__ = ["Asked", "Asker"]
+__all__ = ["SlotReplies", "SlotRequester"]
 
-STAGGER_MS = 12
+HEDGE_DELAY_MS = 12
 """An agent that has not answered for so long is waited for beside the next
 one. Some ten round trips within a region: a live agent is hardly ever
 asked in vain, and four that are gone cost a request 50 ms of its objective
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class SlotReplies:
     """What the agents said.
 
     Attributes
@@ -36,11 +36,11 @@
     granted: Replica | None = None
     attempt: Attempt | None = None
     full: list[Replica] = field(default_factory=list)
-    away: list[Replica] = field(default_factory=list)
+    absent: list[Replica] = field(default_factory=list)
     unanswered: list[Replica] = field(default_factory=list)
 
 
-class Asker:
+class SlotRequester:
     """Asks the agents of one entry.
 
     Parameters
@@ -66,53 +66,53 @@
             on_revoke=want.on_revoke,
         )
 
-    async def ask_in_turn(self, replicas, want, run_id: str) -> Asked:
+    async def request_slot(self, replicas, want, run_id: str) -> SlotReplies:
         """Ask the agents of `replicas` for a slot that is free now.
 
         The first that grants one is taken. What others grant meanwhile is
         given back, since each was asked for an attempt of its own.
         """
-        asked = Asked()
+        replies = SlotReplies()
         pending = {}
         try:
             for replica in replicas:
                 if self._slots.is_silent(self._agent_of(replica)):
-                    asked.unanswered.append(replica)
+                    replies.unanswered.append(replica)
                     continue
                 attempt = self.attempt(want, run_id)
                 task = asyncio.create_task(self._ask(replica, attempt))
                 pending[task] = (replica, attempt)
-                await self._collect(pending, asked, STAGGER_MS / 1000)
-                if asked.granted is not None:
-                    return asked
-            while pending and asked.granted is None:
-                await self._collect(pending, asked, None)
-            return asked
+                await self._collect(pending, replies, HEDGE_DELAY_MS / 1000)
+                if replies.granted is not None:
+                    return replies
+            while pending and replies.granted is None:
+                await self._collect(pending, replies, None)
+            return replies
         finally:
             self._give_back(pending)
 
     async def _ask(self, replica, attempt):
         return await self._slots.ask(attempt, self._agent_of(replica), 0)
 
-    async def _collect(self, pending, asked, limit_s):
+    async def _collect(self, pending, replies, limit_s):
         """Wait for an answer, up to `limit_s`; note what has come."""
         done, _ = await asyncio.wait(
             pending, timeout=limit_s, return_when=asyncio.FIRST_COMPLETED
         )
         for task in done:
             verdict = task.result()
-            if verdict is Verdict.GRANTED and asked.granted is not None:
+            if verdict is Verdict.GRANTED and replies.granted is not None:
                 # Two at the same moment: the second is given back.
                 continue
             replica, attempt = pending.pop(task)
             if verdict is Verdict.GRANTED:
-                asked.granted, asked.attempt = replica, attempt
+                replies.granted, replies.attempt = replica, attempt
             elif verdict is Verdict.FULL:
-                asked.full.append(replica)
+                replies.full.append(replica)
             elif verdict is Verdict.AWAY:
-                asked.away.append(replica)
+                replies.absent.append(replica)
             else:
-                asked.unanswered.append(replica)
+                replies.unanswered.append(replica)
 
     def _give_back(self, pending):
         for task, (_, attempt) in pending.items():
--- a/dahliashunt/forwarding/attempt.py
+++ b/dahliashunt/forwarding/attempt.py
@@ -5,7 +5,7 @@
 from dahliashunt.adapters.http1 import ResponseHead
 from dahliashunt.forwarding.call_state import AttemptEnd
 from dahliashunt.forwarding.call_state import CallState
-from dahliashunt.forwarding.call_state import HeldAnswer
+from dahliashunt.forwarding.call_state import HeldResponse
 from dahliashunt.forwarding.catalog import RouteKind
 from dahliashunt.forwarding.events import EventCutter
 from dahliashunt.forwarding.events import EventOutOfOrder
@@ -18,20 +18,20 @@
 """Share of the longest good pause after which a silent replica is left
 for another: the rest is enough to go on elsewhere within that pause."""
 
-LEAST_SILENCE_MS = 200
+MIN_SILENCE_MS = 200
 """No replica is left sooner: a slowed one makes an event of seven tokens
 in 100 ms."""
 
-WHOLE_BYTES = 1_048_576
+MAX_BUFFERED_BYTES = 1_048_576
 """Longest answer that is collected before it is passed on: until then a
 broken one can be had anew elsewhere."""
 
-FRESH_IDLE_MS = 500
+MAX_IDLE_NOT_REPEATABLE_MS = 500
 """Idle time of a connection that a request which must not run twice may
 take: replicas drop idle ones early, and a reset after sending leaves the
 outcome unknown."""
 
-USUAL_IDLE_MS = 4_000
+MAX_IDLE_MS = 4_000
 
 _ANSWERED = (AttemptEnd.SERVED, AttemptEnd.NOT_RUN, AttemptEnd.FAILED)
 """Ends after which the replica works on the call no more."""
@@ -54,14 +54,14 @@
 
     def __init__(
         self,
-        shared,
+        forwarder,
         state: CallState,
         sink: AnswerSink,
         replica: Replica,
         has_elsewhere,
     ):
-        self._shared = shared
-        self._clock = shared.clock
+        self._forwarder = forwarder
+        self._clock = forwarder.clock
         self._state = state
         self._route = state.route
         self._sink = sink
@@ -70,27 +70,31 @@
 
     async def run(self) -> AttemptEnd:
         """Send the call and relay what comes back."""
-        shared = self._shared
+        forwarder = self._forwarder
         replica = self._replica
-        idle_ms = USUAL_IDLE_MS if self._route.repeatable else FRESH_IDLE_MS
+        idle_ms = (
+            MAX_IDLE_MS
+            if self._route.repeatable
+            else MAX_IDLE_NOT_REPEATABLE_MS
+        )
         try:
-            connection = await shared.pool.take(replica.address, idle_ms)
+            connection = await forwarder.pool.take(replica.address, idle_ms)
         except ConnectFailed:
             return AttemptEnd.NOT_RUN
-        left_ms = self._state.until_ms - self._clock.now_ms()
+        left_ms = self._state.deadline_ms - self._clock.now_ms()
         if left_ms <= 0:
-            shared.pool.give_back(replica.address, connection)
+            forwarder.pool.give_back(replica.address, connection)
             return AttemptEnd.TIMED_OUT
-        request = shared.dialect.request(
+        request = forwarder.dialect.request(
             self._state.call, replica, left_ms, self._state.last_event
         )
-        box = connection.start(
+        mailbox = connection.start(
             request,
-            lambda head: shared.dialect.answers(self._state.call, head),
+            lambda head: forwarder.dialect.answers(self._state.call, head),
         )
         end = None
         try:
-            end = await self._relay(connection, box)
+            end = await self._relay(connection, mailbox)
         finally:
             # Cancelled, silent or out of time: closing is what makes the
             # replica stop.
@@ -100,44 +104,44 @@
                 AttemptEnd.FAILED,
             ):
                 connection.abort()
-            shared.pool.give_back(replica.address, connection)
+            forwarder.pool.give_back(replica.address, connection)
         return end
 
-    async def _relay(self, connection, box):
-        head = await self._first(box)
+    async def _relay(self, connection, mailbox):
+        head = await self._read_head(mailbox)
         if not isinstance(head, ResponseHead):
             return head
-        if self._shared.dialect.proves_not_run(head):
-            await self._whole_body(connection, box)
+        if self._forwarder.dialect.proves_not_run(head):
+            await self._read_body(connection, mailbox)
             return AttemptEnd.NOT_RUN
         self._state.ran += 1
         if head.status >= 500:
-            return await self._keep_failure(connection, box, head)
+            return await self._keep_failure(connection, mailbox, head)
         is_good = 200 <= head.status < 300
         if self._state.started and not is_good:
             # Nothing but the rest of the stream may follow its start.
             return AttemptEnd.LOST
         if is_good and self._route.kind is RouteKind.STREAM:
-            return await self._relay_stream(connection, box, head)
-        return await self._relay_whole(connection, box, head)
+            return await self._relay_stream(connection, mailbox, head)
+        return await self._relay_whole(connection, mailbox, head)
 
-    async def _first(self, box):
+    async def _read_head(self, mailbox):
         """Return the head, or how the attempt ended without one."""
-        silence_ms = self._first_silence_ms()
-        events = await self._take(box, silence_ms)
+        silence_ms = self._head_silence_ms()
+        events = await self._take_events(mailbox, silence_ms)
         if not events:
             self._state.ran += 1
-            return self._silent_or_late()
+            return self._timed_out_or_silent()
         if events[0] is End.UNSENT:
             return AttemptEnd.NOT_RUN
         if isinstance(events[0], End):
             self._state.ran += 1
             return AttemptEnd.LOST
         for event in reversed(events[1:]):
-            box.put_back(event)
+            mailbox.put_back(event)
         return events[0]
 
-    def _first_silence_ms(self):
+    def _head_silence_ms(self):
         """Return how long to wait for the head; None to the end.
 
         This run counts once it is left, so that one more must be allowed
@@ -146,33 +150,33 @@
         route = self._route
         if not route.repeatable or self._state.ran + 1 >= route.max_attempts:
             return None
-        return max(LEAST_SILENCE_MS, route.objective_ms)
+        return max(MIN_SILENCE_MS, route.objective_ms)
 
-    async def _take(self, box, silence_ms):
-        left_ms = max(1, self._state.until_ms - self._clock.now_ms())
+    async def _take_events(self, mailbox, silence_ms):
+        left_ms = max(1, self._state.deadline_ms - self._clock.now_ms())
         if silence_ms is None or silence_ms >= left_ms:
-            return await box.take(left_ms)
-        events = await box.take(silence_ms)
+            return await mailbox.take(left_ms)
+        events = await mailbox.take(silence_ms)
         if not events:
             # This process may itself have stood still while the bytes
             # came: one more turn of the loop lets them in.
-            events = await box.take(1)
+            events = await mailbox.take(1)
         if not events and not await self._has_elsewhere():
             # A silent replica may still answer; no other can.
-            return await box.take(max(1, left_ms - silence_ms))
+            return await mailbox.take(max(1, left_ms - silence_ms))
         return events
 
-    def _silent_or_late(self):
-        if self._clock.now_ms() >= self._state.until_ms:
+    def _timed_out_or_silent(self):
+        if self._clock.now_ms() >= self._state.deadline_ms:
             return AttemptEnd.TIMED_OUT
         return AttemptEnd.SILENT
 
-    async def _whole_body(self, connection, box):
+    async def _read_body(self, connection, mailbox):
         """Return the rest of the body, or None if it did not come whole."""
         parts = []
         size = 0
         while True:
-            events = await self._take(box, self._first_silence_ms())
+            events = await self._take_events(mailbox, self._head_silence_ms())
             if not events:
                 return None
             for event in events:
@@ -181,59 +185,61 @@
                 connection.taken(len(event))
                 parts.append(event)
                 size += len(event)
-            if size > WHOLE_BYTES and self._state.started:
+            if size > MAX_BUFFERED_BYTES and self._state.started:
                 await self._sink.send(b"".join(parts))
                 parts.clear()
 
-    async def _keep_failure(self, connection, box, head):
-        body = await self._whole_body(connection, box)
+    async def _keep_failure(self, connection, mailbox, head):
+        body = await self._read_body(connection, mailbox)
         if body is None:
             return AttemptEnd.LOST
-        self._state.held = HeldAnswer(head, body)
+        self._state.held = HeldResponse(head, body)
         return AttemptEnd.FAILED
 
-    async def _relay_whole(self, connection, box, head):
+    async def _relay_whole(self, connection, mailbox, head):
         length = head.get("content-length")
-        if length is not None and int(length) > WHOLE_BYTES:
-            await self._start(head, int(length))
-        body = await self._whole_body(connection, box)
+        if length is not None and int(length) > MAX_BUFFERED_BYTES:
+            await self._start_response(head, int(length))
+        body = await self._read_body(connection, mailbox)
         if body is None:
-            return self._silent_or_lost()
+            return self._timed_out_or_lost()
         if not self._state.started:
-            await self._start(head, len(body))
+            await self._start_response(head, len(body))
         await self._sink.send(body)
         await self._sink.end()
         return AttemptEnd.SERVED
 
-    def _silent_or_lost(self):
-        if self._clock.now_ms() >= self._state.until_ms:
+    def _timed_out_or_lost(self):
+        if self._clock.now_ms() >= self._state.deadline_ms:
             return AttemptEnd.TIMED_OUT
         return AttemptEnd.LOST
 
-    async def _start(self, head, length):
+    async def _start_response(self, head, length):
         if self._state.started:
             return
         self._state.started = True
-        headers = self._shared.dialect.relayed(head)
+        headers = self._forwarder.dialect.relayed(head)
         await self._sink.start(head.status, headers, length)
         waited_ms = self._clock.now_ms() - self._state.call.arrived_ms
         self._state.first_ms = waited_ms
-        self._shared.metrics.observe_ms(
+        self._forwarder.metrics.observe_ms(
             "first_byte", waited_ms, kind=self._route.kind.value
         )
 
-    async def _relay_stream(self, connection, box, head):
-        cutter = EventCutter()
+    async def _relay_stream(self, connection, mailbox, head):
+        splitter = EventCutter()
         while True:
-            events = await self._take(box, self._pause_ms())
+            events = await self._take_events(mailbox, self._pause_ms())
             if not events:
-                return self._silent_or_late()
+                return self._timed_out_or_silent()
             try:
-                end = await self._pass_on(connection, cutter, events, head)
+                end = await self._relay_events(
+                    connection, splitter, events, head
+                )
             except EventOutOfOrder as error:
-                shared = self._shared
-                shared.metrics.count("stream_out_of_order")
-                shared.log.info(
+                forwarder = self._forwarder
+                forwarder.metrics.count("stream_out_of_order")
+                forwarder.log.info(
                     "stream_out_of_order",
                     request_id=self._state.call.request_id,
                     replica=self._replica.replica_id,
@@ -244,11 +250,11 @@
                 return end
 
     def _pause_ms(self):
-        if not self._route.pause_ms or not self._state.may_run_again:
+        if not self._route.pause_ms or not self._state.may_retry:
             return None
-        return max(LEAST_SILENCE_MS, self._route.pause_ms * SILENCE_SHARE)
+        return max(MIN_SILENCE_MS, self._route.pause_ms * SILENCE_SHARE)
 
-    async def _pass_on(self, connection, cutter, events, head):
+    async def _relay_events(self, connection, splitter, events, head):
         """Pass whole events on; return how the stream ended, if it did."""
         whole = []
         end = None
@@ -257,15 +263,15 @@
                 end = event
                 break
             connection.taken(len(event))
-            whole += self._in_order(cutter.feed(event))
+            whole += self._in_order(splitter.feed(event))
         if whole:
-            await self._start(head, None)
+            await self._start_response(head, None)
             await self._sink.send(b"".join(whole))
         if end is None:
             return None
-        if end is End.BROKEN or cutter.rest:
+        if end is End.BROKEN or splitter.rest:
             return AttemptEnd.LOST
-        await self._start(head, None)
+        await self._start_response(head, None)
         await self._sink.end()
         return AttemptEnd.SERVED
 
--- a/dahliashunt/forwarding/call_state.py
+++ b/dahliashunt/forwarding/call_state.py
@@ -7,7 +7,7 @@
 from dahliashunt.forwarding.call import Call
 from dahliashunt.forwarding.catalog import Route
 
-__all__ = ["AttemptEnd", "CallState", "HeldAnswer"]
+__all__ = ["AttemptEnd", "CallState", "HeldResponse"]
 
 
 class AttemptEnd(enum.Enum):
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldAnswer:
+class HeldResponse:
     """A replica's failure: passed on if no attempt does better."""
 
     head: ResponseHead
@@ -60,14 +60,14 @@
 
     call: Call
     route: Route
-    until_ms: int
+    deadline_ms: int
     ran: int = 0
     started: bool = False
     last_event: int = 0
     first_ms: int = 0
-    held: HeldAnswer | None = None
+    held: HeldResponse | None = None
 
     @property
-    def may_run_again(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether another replica may run it after what has happened."""
         return self.route.repeatable and self.ran < self.route.max_attempts
--- a/dahliashunt/forwarding/caps.py
+++ b/dahliashunt/forwarding/caps.py
@@ -23,16 +23,16 @@
 from dahliashunt.metrics import Metrics
 from dahliashunt.ports import Clock
 
-__all__ = ["Caps", "Counts", "MeterChoice", "RecentCounts"]
+__all__ = ["Caps", "DecisionCounts", "MeterChoice", "RecentDecisions"]
 
 TICK_MS = 25
 """Between looks at questions without answer and untold counts."""
 
-MOST_METER_HOSTS = 64
+MAX_METER_HOSTS = 64
 """Agents that count at all: choosing among them takes some 60 us, and more
 would not share the load better, since each workspace has three."""
 
-MOST_CHOSEN = 10_000
+MAX_CACHED_WORKSPACES = 10_000
 """Workspaces whose meters are remembered: a few MB."""
 
 POOL_NAME = "meters"
@@ -60,90 +60,95 @@
         self._has_agents = has_agents
         self._lists: tuple = ()
         self._hosts: frozenset[str] = frozenset()
-        self._chosen: dict[int, tuple[str, ...]] = {}
+        self._hosts_by_workspace: dict[int, tuple[str, ...]] = {}
 
     def of_workspace(self, workspace: int) -> tuple[str, ...]:
         """Return the hosts of a workspace's meters, most wanted first."""
         self._refresh()
-        chosen = self._chosen.get(workspace)
+        chosen = self._hosts_by_workspace.get(workspace)
         if chosen is None:
-            if len(self._chosen) >= MOST_CHOSEN:
-                self._chosen.clear()
+            if len(self._hosts_by_workspace) >= MAX_CACHED_WORKSPACES:
+                self._hosts_by_workspace.clear()
             ranked = sorted(
                 self._hosts,
                 key=lambda host: rendezvous_rank(str(workspace), host),
                 reverse=True,
             )
-            chosen = self._chosen[workspace] = tuple(ranked[:METERS])
+            chosen = self._hosts_by_workspace[workspace] = tuple(
+                ranked[:METERS]
+            )
         return chosen
 
     def _refresh(self):
         services = sorted(filter(self._has_agents, self._book.services()))
         lists = tuple(self._book.of_service(name) for name in services)
-        if _same(lists, self._lists):
+        if _all_identical(lists, self._lists):
             return
         self._lists = lists
         hosts = {replica.host for listed in lists for replica in listed}
-        pool = choose_links(POOL_NAME, hosts, MOST_METER_HOSTS)
+        pool = choose_links(POOL_NAME, hosts, MAX_METER_HOSTS)
         if pool != self._hosts:
             self._hosts = pool
-            self._chosen.clear()
+            self._hosts_by_workspace.clear()
 
 
 @dataclass(frozen=True, slots=True)
-class Counts:
+class DecisionCounts:
     """Requests of a workspace at one entry."""
 
     admitted: int = 0
     refused: int = 0
 
 
-class RecentCounts:
+class RecentDecisions:
     """Decisions by workspace in the window that runs and the one before.
 
     Examples
     --------
-    >>> recent = RecentCounts()
+    >>> recent = RecentDecisions()
     >>> recent.note(0, "w", False)
     >>> recent.note(WINDOW_MS, "w", True)
     >>> recent.of(WINDOW_MS, "w")
-    Counts(admitted=1, refused=1)
+    DecisionCounts(admitted=1, refused=1)
     >>> recent.of(3 * WINDOW_MS, "w")
-    Counts(admitted=0, refused=0)
+    DecisionCounts(admitted=0, refused=0)
     """
 
     def __init__(self):
         self._window = 0
-        self._now: dict[WorkspaceId, Counts] = {}
-        self._before: dict[WorkspaceId, Counts] = {}
+        self._current: dict[WorkspaceId, DecisionCounts] = {}
+        self._previous: dict[WorkspaceId, DecisionCounts] = {}
 
     def note(self, now_ms: int, name: WorkspaceId, is_refused: bool) -> None:
         """Count one decision."""
-        self._turn(now_ms)
-        was = self._now.get(name, Counts())
-        self._now[name] = Counts(
+        self._roll_window(now_ms)
+        was = self._current.get(name, DecisionCounts())
+        self._current[name] = DecisionCounts(
             was.admitted + (not is_refused), was.refused + is_refused
         )
 
-    def of(self, now_ms: int, name: WorkspaceId) -> Counts:
+    def of(self, now_ms: int, name: WorkspaceId) -> DecisionCounts:
         """Return the counts of one workspace."""
-        self._turn(now_ms)
-        both = [w.get(name, Counts()) for w in (self._now, self._before)]
-        return Counts(
+        self._roll_window(now_ms)
+        both = [
+            w.get(name, DecisionCounts())
+            for w in (self._current, self._previous)
+        ]
+        return DecisionCounts(
             sum(each.admitted for each in both),
             sum(each.refused for each in both),
         )
 
-    def _turn(self, now_ms):
+    def _roll_window(self, now_ms):
         window = now_ms // WINDOW_MS
         if window != self._window:
             is_next = window == self._window + 1
-            self._before = self._now if is_next else {}
-            self._now, self._window = {}, window
+            self._previous = self._current if is_next else {}
+            self._current, self._window = {}, window
 
 
 @dataclass(frozen=True, slots=True)
-class _Question:
+class _PendingRequest:
     answer: asyncio.Future
     key: int
     limit: RateLimit
@@ -184,10 +189,10 @@
         self._clock = clock
         self._metrics = metrics
         self._log = log
-        self._question_by_number: dict[int, _Question] = {}
-        self._wanted = asyncio.Event()
-        self._recent = RecentCounts()
-        slots.on_reading = self._heard
+        self._pending_by_number: dict[int, _PendingRequest] = {}
+        self._work_ready = asyncio.Event()
+        self._recent = RecentDecisions()
+        slots.on_reading = self._on_reading
 
     async def admit(
         self, workspace: Workspace, revision: Revision, request_id: RequestId
@@ -206,12 +211,12 @@
         found = self._policy.take(self._clock.now_ms(), key, limit)
         if isinstance(found, Asked):
             answer = asyncio.get_running_loop().create_future()
-            question = _Question(answer, key, limit)
-            self._question_by_number[found.number] = question
-            self._flush()
+            pending_request = _PendingRequest(answer, key, limit)
+            self._pending_by_number[found.number] = pending_request
+            self._send_reports()
             found = await answer
         else:
-            self._flush()
+            self._send_reports()
         is_refused = isinstance(found, Refused)
         self._recent.note(
             self._clock.now_ms(), workspace.workspace_id, is_refused
@@ -241,14 +246,14 @@
         if limit is not None:
             key = _key(workspace.workspace_id)
             self._policy.give_back(self._clock.now_ms(), key, limit)
-            self._flush()
+            self._send_reports()
 
     def view(self, workspace: Workspace) -> UseView:
         """Return a workspace's use as this entry sees it."""
         key = _key(workspace.workspace_id)
         return self._policy.view(self._clock.now_ms(), key)
 
-    def recent(self, workspace: Workspace) -> Counts:
+    def recent(self, workspace: Workspace) -> DecisionCounts:
         """Return what was decided here in the last window or two."""
         return self._recent.of(self._clock.now_ms(), workspace.workspace_id)
 
@@ -258,40 +263,42 @@
         room = max(1.0, workspace.burst + self._allowance)
         return RateLimit(workspace.rate, room, revision)
 
-    def _heard(self, host, reading):
+    def _on_reading(self, host, reading):
         now_ms = self._clock.now_ms()
         self._settle(self._policy.heard(now_ms, host, reading))
-        self._flush()
+        self._send_reports()
 
     def _settle(self, outcomes):
         for outcome in outcomes:
-            question = self._question_by_number.pop(outcome.number)
-            if not question.answer.done():
-                question.answer.set_result(outcome.verdict)
+            pending_request = self._pending_by_number.pop(outcome.number)
+            if not pending_request.answer.done():
+                pending_request.answer.set_result(outcome.verdict)
             elif not isinstance(outcome.verdict, Refused):
                 # The caller has left meanwhile.
                 self._policy.give_back(
-                    self._clock.now_ms(), question.key, question.limit
+                    self._clock.now_ms(),
+                    pending_request.key,
+                    pending_request.limit,
                 )
 
-    def _flush(self):
+    def _send_reports(self):
         for host, report in self._policy.outbox():
             self._slots.tell_use((host, self._agent_port), report)
         if self._policy.is_waiting:
-            self._wanted.set()
+            self._work_ready.set()
 
     async def run(self) -> None:
         """Look after questions without answer, for ever."""
         while True:
-            await self._wanted.wait()
-            self._wanted.clear()
+            await self._work_ready.wait()
+            self._work_ready.clear()
             while self._policy.is_waiting:
                 await self._clock.sleep_ms(TICK_MS)
                 self._settle(self._policy.tick(self._clock.now_ms()))
-                self._flush()
+                self._send_reports()
 
 
-def _same(some, others):
+def _all_identical(some, others):
     return len(some) == len(others) and all(
         one is other for one, other in zip(some, others, strict=True)
     )
--- a/dahliashunt/forwarding/catalog.py
+++ b/dahliashunt/forwarding/catalog.py
@@ -92,10 +92,10 @@
             return next(iter(self.weight_by_service))
         total = sum(self.weight_by_service.values())
         digest = hashlib.blake2b(request_id.encode(), digest_size=8).digest()
-        at = int.from_bytes(digest) / 2**64 * total
+        point = int.from_bytes(digest) / 2**64 * total
         for service, weight in self.weight_by_service.items():
-            at -= weight
-            if at < 0:
+            point -= weight
+            if point < 0:
                 return service
         return service
 
--- a/dahliashunt/forwarding/events.py
+++ b/dahliashunt/forwarding/events.py
@@ -73,25 +73,25 @@
         """
         data = self.rest + data
         events = []
-        at = 0
+        offset = 0
         while True:
-            end, size = _blank_line(data, at)
+            end, size = _blank_line(data, offset)
             if end < 0:
                 break
-            raw = data[at : end + size]
+            raw = data[offset : end + size]
             events.append(Event(_number(raw), raw))
-            at = end + size
-        self.rest = data[at:]
+            offset = end + size
+        self.rest = data[offset:]
         if len(self.rest) > MAX_EVENT_BYTES:
             raise EventOutOfOrder("an event has no end")
         return events
 
 
-def _blank_line(data, at):
-    plain = data.find(b"\n\n", at)
+def _blank_line(data, offset):
+    plain = data.find(b"\n\n", offset)
     if b"\r" not in data:
         return plain, 2
-    other = data.find(b"\r\n\r\n", at)
+    other = data.find(b"\r\n\r\n", offset)
     if other >= 0 and (plain < 0 or other < plain):
         return other, 4
     return plain, 2
--- a/dahliashunt/forwarding/explain.py
+++ b/dahliashunt/forwarding/explain.py
@@ -12,23 +12,23 @@
 from dahliashunt.forwarding.catalog import Route
 from dahliashunt.forwarding.replica_view import ReplicaState
 
-__all__ = ["MOST_ROUTES", "Explainer"]
+__all__ = ["MAX_ROUTES", "Explainer"]
 
-MOST_ROUTES = 1_000
+MAX_ROUTES = 1_000
 """Routes in one page: some milliseconds of a node's time."""
 
-MOST_CHANGES = 200
+MAX_CHANGES = 200
 """Changed routes that are named; the others are counted."""
 
-MOST_REPLICAS = 100
+MAX_REPLICAS = 100
 """Replicas that are described one by one; partners come first."""
 
-MOST_PASSED_OVER = 20
+MAX_PASSED_OVER = 20
 
 
 @dataclass(frozen=True, slots=True)
-class _Outcome:
-    says: str
+class _ExpectedOutcome:
+    summary: str
     wait_ms: int | None = None
     retry_after_ms: tuple[int, int] | None = None
 
@@ -63,7 +63,7 @@
         )
         found["passed_over"] = [
             {"name": each.name, "prefix": each.prefix, "why": "shorter"}
-            for each in others[:MOST_PASSED_OVER]
+            for each in others[:MAX_PASSED_OVER]
         ]
         if isinstance(route, BrokenRoute):
             found["route"] = {"name": route.name, "prefix": route.prefix}
@@ -108,28 +108,32 @@
             "replicas": len(replicas),
             "by_data_centre": dict(sorted(places.items())),
             "usable": len(usable),
-            "asked": [each.fields() for each in replicas[:MOST_REPLICAS]],
-            "now": outcome.says,
+            "asked": [each.fields() for each in replicas[:MAX_REPLICAS]],
+            "now": outcome.summary,
             "wait_ms": outcome.wait_ms,
             "retry_after_ms": outcome.retry_after_ms,
         }
 
     def _outcome(self, route, service, replicas, keeps):
         if not replicas:
-            return _Outcome("refused: the service has no replica")
+            return _ExpectedOutcome("refused: the service has no replica")
         usable = [r for r in replicas if r.state is ReplicaState.USABLE]
         if not keeps or not usable:
-            return _Outcome("sent to a replica without asking an agent", 0)
+            return _ExpectedOutcome(
+                "sent to a replica without asking an agent", 0
+            )
         if any(each.free > 0 for each in usable):
-            return _Outcome("taken at once", 0)
+            return _ExpectedOutcome("taken at once", 0)
         if any(each.batch > 0 for each in usable):
-            return _Outcome("taken at once, a batch item gives way", 0)
+            return _ExpectedOutcome("taken at once, a batch item gives way", 0)
         wait_ms = min(each.wait_ms for each in usable)
         if wait_ms <= route.objective_ms:
-            return _Outcome(f"waits about {wait_ms} ms for a slot", wait_ms)
+            return _ExpectedOutcome(
+                f"waits about {wait_ms} ms for a slot", wait_ms
+            )
         hold_ms = self._places.hold_ms(service)
         least, most = (int(hold_ms * turn) for turn in TURNS)
-        return _Outcome(
+        return _ExpectedOutcome(
             f"refused, with a Retry-After of {least} to {most} ms",
             wait_ms,
             (least, most),
@@ -142,14 +146,14 @@
         if node.catalog is None:
             return {**found, "total": 0, "routes": [], "broken": []}
         routes = node.catalog.routes
-        page = routes[after : after + MOST_ROUTES]
+        page = routes[after : after + MAX_ROUTES]
         found["total"] = len(routes)
         found["next"] = after + len(page) if page else None
         found["routes"] = [route_fields(route) for route in page]
         if after == 0:
             found["broken"] = [
                 {"name": b.name, "prefix": b.prefix, "reason": b.reason}
-                for b in node.catalog.broken[:MOST_CHANGES]
+                for b in node.catalog.broken[:MAX_CHANGES]
             ]
             found["replicas_by_service"] = {
                 service.name: len(self._known.listed(service.name))
@@ -161,19 +165,19 @@
         """Return what the version in force changed of the one before."""
         node = self._node
         found = {"node": node.metrics.node_id, **self._version()}
-        former = node.former
-        if node.catalog is None or former is None:
+        previous_catalog = node.previous_catalog
+        if node.catalog is None or previous_catalog is None:
             return {**found, "before": None, "counts": {}, "changes": []}
         now = {route.name: route for route in node.catalog.routes}
-        before = {route.name: route for route in former.routes}
+        before = {route.name: route for route in previous_catalog.routes}
         changes = [_change(before, now, name) for name in {**before, **now}]
         changes = [each for each in changes if each is not None]
         counts = Counter(each["change"] for each in changes)
         return {
             **found,
-            "before": former.revision,
+            "before": previous_catalog.revision,
             "counts": dict(counts),
-            "changes": changes[:MOST_CHANGES],
+            "changes": changes[:MAX_CHANGES],
         }
 
 
--- a/dahliashunt/forwarding/explain_workspaces.py
+++ b/dahliashunt/forwarding/explain_workspaces.py
@@ -6,12 +6,12 @@
 
 from collections import Counter
 
-__all__ = ["MOST_WORKSPACES", "WorkspaceExplainer"]
+__all__ = ["MAX_WORKSPACES", "WorkspaceExplainer"]
 
-MOST_WORKSPACES = 500
+MAX_WORKSPACES = 500
 """Workspaces in one answer: those with most requests of late."""
 
-DIGEST_SHOWN = 4
+DIGEST_SHOWN_BYTES = 4
 """Bytes of a key's digest: enough to tell a workspace's keys apart."""
 
 
@@ -31,7 +31,7 @@
 
     def workspaces(self) -> dict:
         """Return the workspaces, those with most requests first."""
-        found = self._known()
+        found = self._workspaces()
         rows = (
             [self._row(each) for each in found.by_id.values()] if found else []
         )
@@ -42,7 +42,7 @@
             **self._version(),
             "keys_wanted": found is not None,
             "total": len(rows),
-            "workspaces": rows[:MOST_WORKSPACES],
+            "workspaces": rows[:MAX_WORKSPACES],
             "broken": [
                 {"name": each.name, "reason": each.reason}
                 for each in (found.broken if found else ())
@@ -51,7 +51,7 @@
 
     def explain(self, name: str) -> dict:
         """Return all that is known of one workspace."""
-        found = self._known()
+        found = self._workspaces()
         workspace = found.by_id.get(name) if found else None
         if workspace is None:
             return {**self._version(), "workspace": None, "why": _why(found)}
@@ -59,7 +59,7 @@
         return {
             **self._version(),
             "workspace": self._row(workspace),
-            "keys": [d[:DIGEST_SHOWN].hex() for d in workspace.digests],
+            "keys": [d[:DIGEST_SHOWN_BYTES].hex() for d in workspace.digests],
             "level": round(use.level, 2),
             "metered": use.metered,
             "entries": use.entries,
@@ -76,7 +76,7 @@
             "open_tokens_by_route": self._open_tokens(workspace),
         }
 
-    def _known(self):
+    def _workspaces(self):
         catalog = self._node.catalog
         return catalog.workspaces if catalog is not None else None
 
--- a/dahliashunt/forwarding/follower.py
+++ b/dahliashunt/forwarding/follower.py
@@ -12,7 +12,7 @@
 
 __all__ = ["TableFollower"]
 
-WAIT_MS = 1_000
+LONG_POLL_MS = 1_000
 """How long one call waits for a change. Short, since a connection that
 went silent is found only by the call's end: with it and the client's own
 margin a change is at most some 1.5 s late on such a connection."""
@@ -90,8 +90,10 @@
         if self._after is None:
             await self._read_whole()
             return
-        found = await self._feed.changes(self._table, self._after, WAIT_MS)
-        self._heard()
+        found = await self._feed.changes(
+            self._table, self._after, LONG_POLL_MS
+        )
+        self._note_answer()
         self._apply(found)
         self._after = found.version
         gather_ms = pause_ms(self._use, bool(found.rows or found.removed))
@@ -105,7 +107,7 @@
             found = await self._feed.snapshot(prefix)
             rows += found.rows
             after = found.version if after is None else after
-        self._heard()
+        self._note_answer()
         self._listener.replaced(tuple(rows))
         self.known.set()
         # What changed between the first page and the last comes again.
@@ -119,7 +121,7 @@
             if key.startswith(self._prefixes):
                 self._listener.removed(key)
 
-    def _heard(self):
+    def _note_answer(self):
         self.heard_ms = self._clock.now_ms()
         if self._failures:
             self._log.info(
--- a/dahliashunt/forwarding/forwarder.py
+++ b/dahliashunt/forwarding/forwarder.py
@@ -26,7 +26,7 @@
 from dahliashunt.forwarding.call_state import CallState
 from dahliashunt.forwarding.catalog import Route
 from dahliashunt.forwarding.catalog import RouteKind
-from dahliashunt.forwarding.losses import digest_of
+from dahliashunt.forwarding.losses import request_fingerprint
 from dahliashunt.forwarding.losses import SharedLosses
 from dahliashunt.forwarding.place import Want
 from dahliashunt.forwarding.placing import Places
@@ -51,7 +51,7 @@
 turns of a full fleet, and well under the two seconds after which callers
 leave."""
 
-NOT_SENT_TRIES = 6
+MAX_NOT_RUN_ATTEMPTS = 6
 """Replicas tried one after another that proved not to have run it."""
 
 
@@ -109,26 +109,26 @@
         AnswerCut
             The answer broke off.
         """
-        await _Run(self, call, route, keeps, sink).serve()
+        await _ForwardedCall(self, call, route, keeps, sink).serve()
 
 
 @dataclass(frozen=True, slots=True)
-class _Patience:
+class _WaitLimits:
     """How long a request may wait, and how long and still be in time."""
 
     wait_ms: int
     slack_ms: int
 
 
-_NO_PATIENCE = _Patience(0, 0)
+_NO_WAIT = _WaitLimits(0, 0)
 
 
-class _Run:
+class _ForwardedCall:
     """One call on its way."""
 
-    def __init__(self, shared, call, route, keeps, sink):
-        self._shared = shared
-        self._clock = shared.clock
+    def __init__(self, forwarder, call, route, keeps, sink):
+        self._forwarder = forwarder
+        self._clock = forwarder.clock
         self._call = call
         self._route = route
         self._keeps = keeps
@@ -139,19 +139,19 @@
         self._state = CallState(
             call=call,
             route=route,
-            until_ms=call.arrived_ms + budget_ms,
+            deadline_ms=call.arrived_ms + budget_ms,
             last_event=call.last_event,
         )
-        self._waited_ms = shared.waits.waited_ms(
+        self._waited_ms = forwarder.waits.waited_ms(
             route.name, budget_ms, route.timeout_ms
         )
         self._service = route.service_for(call.request_id)
         self._rank = route.rank if call.rank is None else call.rank
         self._tried = set()
-        self._not_sent = 0
+        self._not_run_count = 0
         self._next_place = None
         self._placed_ms = 0
-        self._digest = digest_of(route.host, call)
+        self._digest = request_fingerprint(route.host, call)
 
     async def serve(self):
         try:
@@ -162,7 +162,7 @@
 
     async def _serve(self):
         while True:
-            self._refuse_convicted()
+            self._refuse_poison()
             place, self._next_place = self._next_place, None
             if place is None:
                 place = await self._place()
@@ -173,9 +173,9 @@
             finally:
                 place.release()
             if end is AttemptEnd.SERVED:
-                self._shared.suspicion.served(place.replica.life)
-                self._shared.losses.served(self._digest)
-                self._note(
+                self._forwarder.suspicion.served(place.replica.life)
+                self._forwarder.losses.served(self._digest)
+                self._record(
                     "served",
                     replica=place.replica.replica_id,
                     data_centre=place.replica.data_centre,
@@ -185,16 +185,16 @@
                     total_ms=self._age_ms(),
                 )
                 return
-            self._judge(place.replica, end, began_ms)
-            if not self._may_go_on(end):
+            self._record_failure(place.replica, end, began_ms)
+            if not self._may_try_again(end):
                 await self._give_up(end)
                 return
 
-    def _refuse_convicted(self):
+    def _refuse_poison(self):
         """End a request that was lost with each replica so far."""
-        if not self._shared.losses.is_convicted(self._digest):
+        if not self._forwarder.losses.is_convicted(self._digest):
             return
-        self._note("convicted", digest=self._digest)
+        self._record("convicted", digest=self._digest)
         kind = AnswerCut if self._state.started else RequestError
         raise kind(
             ErrorKind.OUTCOME_UNKNOWN,
@@ -209,41 +209,41 @@
 
     async def _place(self):
         try:
-            return await self._find(self._patience(), self._tried)
+            return await self._find(self._wait_limits(), self._tried)
         except RequestError as error:
             self._refuse(error)
 
-    async def _find(self, patience, avoid):
+    async def _find(self, limits, avoid):
         affinity = self._call.shared_parts
         want = Want(
             service=self._service,
             use=Use.ONLINE,
             affinity=affinity[-1] if affinity else "",
-            wait_ms=patience.wait_ms,
-            slack_ms=patience.slack_ms,
+            wait_ms=limits.wait_ms,
+            slack_ms=limits.slack_ms,
             avoid=frozenset(avoid),
             on_revoke=lambda: None,
             rank=self._rank,
         )
-        return await self._shared.places.find(
+        return await self._forwarder.places.find(
             want, self._call.request_id, self._keeps
         )
 
-    def _patience(self):
+    def _wait_limits(self):
         """Return how long this request may wait for a slot by now."""
-        left_ms = max(0, self._state.until_ms - self._clock.now_ms())
+        left_ms = max(0, self._state.deadline_ms - self._clock.now_ms())
         if self._state.ran:
             # It was taken on and lost: worth a wait, though late.
             wait_ms = min(RESUME_WAIT_MS, left_ms)
-            return _Patience(wait_ms, wait_ms)
+            return _WaitLimits(wait_ms, wait_ms)
         age_ms = self._waited_ms + self._age_ms()
         useful_ms = self._route.objective_ms - age_ms - START_MS
         slack_ms = max(0, min(useful_ms, left_ms))
-        return _Patience(min(slack_ms + LATE_WAIT_MS, left_ms), slack_ms)
+        return _WaitLimits(min(slack_ms + LATE_WAIT_MS, left_ms), slack_ms)
 
     def _refuse(self, error):
         """Turn a missing place into the answer that is true by now."""
-        self._note("refused", reason=error.kind.value)
+        self._record("refused", reason=error.kind.value)
         if self._state.started:
             raise AnswerCut(error.kind, error.message, Ran.YES) from None
         if self._state.ran:
@@ -258,45 +258,47 @@
         async def has_elsewhere():
             avoid = {*self._tried, replica.life}
             try:
-                self._next_place = await self._find(_NO_PATIENCE, avoid)
+                self._next_place = await self._find(_NO_WAIT, avoid)
             except RequestError:
                 return False
             return True
 
         attempt = Attempt(
-            self._shared, self._state, self._sink, replica, has_elsewhere
+            self._forwarder, self._state, self._sink, replica, has_elsewhere
         )
         return await attempt.run()
 
     # After an attempt.
 
-    def _judge(self, replica, end, began_ms):
+    def _record_failure(self, replica, end, began_ms):
         self._tried.add(replica.life)
         if end is AttemptEnd.LOST:
             request_id = self._call.request_id
-            self._shared.losses.lost(self._digest, request_id, began_ms)
+            self._forwarder.losses.lost(self._digest, request_id, began_ms)
         if end is not AttemptEnd.TIMED_OUT:
             now_ms = self._clock.now_ms()
-            self._shared.suspicion.failed(replica.life, now_ms)
-        self._note("attempt_ended", replica=replica.replica_id, end=end.value)
+            self._forwarder.suspicion.failed(replica.life, now_ms)
+        self._record(
+            "attempt_ended", replica=replica.replica_id, end=end.value
+        )
 
-    def _may_go_on(self, end):
+    def _may_try_again(self, end):
         if (
             end is AttemptEnd.TIMED_OUT
-            or self._clock.now_ms() >= self._state.until_ms
+            or self._clock.now_ms() >= self._state.deadline_ms
         ):
             return False
         if end is AttemptEnd.NOT_RUN:
-            self._not_sent += 1
-            return self._not_sent < NOT_SENT_TRIES
+            self._not_run_count += 1
+            return self._not_run_count < MAX_NOT_RUN_ATTEMPTS
         is_stream = self._route.kind is RouteKind.STREAM
         if self._state.started and not is_stream:
             # A second run's bytes must not follow a first one's.
             return False
-        return self._state.may_run_again
+        return self._state.may_retry
 
     async def _give_up(self, end):
-        self._note("gave_up", end=end.value)
+        self._record("gave_up", end=end.value)
         if self._state.started:
             raise AnswerCut(
                 ErrorKind.ENDPOINT_LOST, "the answer broke off", Ran.YES
@@ -322,18 +324,18 @@
 
     async def _send_held(self):
         held = self._state.held
-        headers = self._shared.dialect.relayed(held.head)
+        headers = self._forwarder.dialect.relayed(held.head)
         await self._sink.start(held.head.status, headers, len(held.body))
         await self._sink.send(held.body)
         await self._sink.end()
 
-    def _note(self, event, **fields):
-        self._shared.metrics.count(event, kind=self._route.kind.value)
-        self._shared.log.info(
+    def _record(self, event, **fields):
+        self._forwarder.metrics.count(event, kind=self._route.kind.value)
+        self._forwarder.log.info(
             event,
             request_id=self._call.request_id,
             route=self._route.name,
             attempts=self._state.ran,
-            left_ms=self._state.until_ms - self._clock.now_ms(),
+            left_ms=self._state.deadline_ms - self._clock.now_ms(),
             **fields,
         )
--- a/dahliashunt/forwarding/known_replicas.py
+++ b/dahliashunt/forwarding/known_replicas.py
@@ -59,7 +59,7 @@
         self._data_centre = data_centre
         self._agent_port = agent_port
         self._is_connected = is_connected
-        self._own_by_life: dict[tuple, int] = {}
+        self._own_by_incarnation: dict[tuple, int] = {}
 
     def services(self):
         """Return the services that have replicas."""
@@ -73,7 +73,7 @@
         """Return the replicas that are asked first."""
         return self._partners.of_service(service)
 
-    def lives(self) -> set:
+    def incarnations(self) -> set:
         """Return the lives of all replicas that are listed."""
         return {replica.life for replica in self._book.all()}
 
@@ -87,15 +87,15 @@
 
     def own(self, replica: Replica) -> int:
         """Return how many requests of this entry it has."""
-        return self._own_by_life.get(replica.life, 0)
+        return self._own_by_incarnation.get(replica.life, 0)
 
     def count(self, replica: Replica, by: int) -> None:
         """Add to the requests of this entry there."""
         count = self.own(replica) + by
         if count > 0:
-            self._own_by_life[replica.life] = count
+            self._own_by_incarnation[replica.life] = count
         else:
-            self._own_by_life.pop(replica.life, None)
+            self._own_by_incarnation.pop(replica.life, None)
 
     def ordered(self, replicas, affinity: str) -> list[Replica]:
         """Return `replicas`, best first."""
--- a/dahliashunt/forwarding/losses.py
+++ b/dahliashunt/forwarding/losses.py
@@ -19,16 +19,16 @@
 from dahliashunt.ports.table import Row
 from dahliashunt.ports.table import Write
 
-__all__ = ["LOSSES_PREFIX", "SharedLosses", "digest_of"]
+__all__ = ["LOSSES_PREFIX", "SharedLosses", "request_fingerprint"]
 
 LOSSES_PREFIX = "losses//"
 
-MOST_QUEUED = 64
+MAX_QUEUED_WRITES = 64
 """Writes that wait for the store; with more a store's outage is on, and
 counts stay with this entry."""
 
 
-def digest_of(host: str, call: Call) -> Fingerprint:
+def request_fingerprint(host: str, call: Call) -> Fingerprint:
     """Return what is equal for resends of one request."""
     digest = hashlib.blake2b(call.body, digest_size=12)
     digest.update(f"\0{host}\0{call.method}\0{call.target}".encode())
@@ -46,7 +46,7 @@
         self._clock = clock
         self._log = log
         self._counts = LossCounts()
-        self._queue: asyncio.Queue = asyncio.Queue(MOST_QUEUED)
+        self._queue: asyncio.Queue = asyncio.Queue(MAX_QUEUED_WRITES)
 
     def lost(
         self, digest: Fingerprint, request_id: str, began_ms: int
--- a/dahliashunt/forwarding/node.py
+++ b/dahliashunt/forwarding/node.py
@@ -31,7 +31,7 @@
 then refused as not run, jobs are refused at once, and new connections are
 better made elsewhere."""
 
-MOST_NAMED = 10
+MAX_LOGGED_ERRORS = 10
 """Broken routes that are named in the log; `route list` shows all."""
 
 RETRY_MS = 300
@@ -75,7 +75,7 @@
         self.book = book
         self.catalog: Catalog | None = None
         self.adopted_ms: int | None = None
-        self.former: Catalog | None = None
+        self.previous_catalog: Catalog | None = None
         self.forwarder: Forwarder | None = None
         self.caps: Caps | None = None
         self.leaving = asyncio.Event()
@@ -118,10 +118,10 @@
         A late or doubled read must not bring back a route that was
         dropped: revisions only grow within a process's life.
         """
-        held = self.catalog
-        if held is not None and catalog.revision <= held.revision:
+        current = self.catalog
+        if current is not None and catalog.revision <= current.revision:
             return
-        self.catalog, self.former = catalog, held
+        self.catalog, self.previous_catalog = catalog, current
         self._configured.set()
         self.adopted_ms = self.clock.now_ms()
         if self.forwarder is not None:
@@ -130,17 +130,17 @@
         self.log.info(
             "configuration_adopted",
             revision=catalog.revision,
-            before=held.revision if held else None,
+            before=current.revision if current else None,
             routes=len(catalog.routes),
             broken=len(catalog.broken),
             workspaces=_count_workspaces(catalog),
         )
-        for route in catalog.broken[:MOST_NAMED]:
+        for route in catalog.broken[:MAX_LOGGED_ERRORS]:
             self.log.error(
                 "route_unreadable", route=route.name, reason=route.reason
             )
         unreadable = catalog.workspaces.broken if catalog.workspaces else ()
-        for workspace in unreadable[:MOST_NAMED]:
+        for workspace in unreadable[:MAX_LOGGED_ERRORS]:
             self.log.error(
                 "workspace_unreadable",
                 workspace=workspace.name,
@@ -169,21 +169,21 @@
         RequestError
             There is none, or this node cannot tell.
         """
-        self._demand_configuration()
+        self._require_configuration()
         route = self.catalog.match(host, path)
         if route is None:
             if self.is_stale():
-                raise _unsure(
+                raise _retry_elsewhere(
                     "the route may be newer than this node's configuration"
                 )
             raise RequestError(ErrorKind.NOT_FOUND, "no route matches")
         if isinstance(route, BrokenRoute):
-            raise _unsure(
+            raise _retry_elsewhere(
                 f"the route {route.name} can't be read: {route.reason}"
             )
         return route
 
-    def _demand_configuration(self):
+    def _require_configuration(self):
         if self.catalog is None:
             raise RequestError(
                 ErrorKind.STORE_UNAVAILABLE,
@@ -221,7 +221,7 @@
         RequestError
             Nobody has the key, or this node cannot tell.
         """
-        self._demand_configuration()
+        self._require_configuration()
         workspaces = self.catalog.workspaces
         if workspaces is None or key is None:
             return None
@@ -229,11 +229,13 @@
         if isinstance(found, Workspace):
             return found
         if isinstance(found, BrokenWorkspace):
-            raise _unsure("the key's workspace can't be read")
+            raise _retry_elsewhere("the key's workspace can't be read")
         if self.is_stale():
-            raise _unsure("the key may be newer than this node's revision")
+            raise _retry_elsewhere(
+                "the key may be newer than this node's revision"
+            )
         if not workspaces.knows_all_keys:
-            raise _unsure("some workspace's keys can't be read")
+            raise _retry_elsewhere("some workspace's keys can't be read")
         raise RequestError(ErrorKind.UNAUTHENTICATED, "nobody has this key")
 
     def demand_key(self, workspace: Workspace | None) -> None:
@@ -278,7 +280,7 @@
             raise
 
 
-def _unsure(message):
+def _retry_elsewhere(message):
     """Return the refusal of a caller whom another node may know."""
     return RequestError(
         ErrorKind.STORE_UNAVAILABLE, message, retry_after_ms=RETRY_MS
--- a/dahliashunt/forwarding/placing.py
+++ b/dahliashunt/forwarding/placing.py
@@ -12,7 +12,7 @@
 from dahliashunt.decisions.suspicion import Suspicion
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import RequestError
-from dahliashunt.forwarding.asking import Asker
+from dahliashunt.forwarding.asking import SlotRequester
 from dahliashunt.forwarding.known_replicas import KnownReplicas
 from dahliashunt.forwarding.place import Place
 from dahliashunt.forwarding.place import Want
@@ -20,7 +20,7 @@
 
 __all__ = ["Places"]
 
-MOST_ASKED = 6
+MAX_ASKED = 6
 """Agents asked in turn before a request waits at one: some milliseconds,
 and with six replicas in ten full the chance to miss room is 1 in 20."""
 
@@ -28,7 +28,7 @@
 """Retry-After when a service has no replica: replicas come back, or new
 ones are listed, within a heartbeat or two of 1.2 s."""
 
-DIRECT_SHARE = 4
+DIRECT_SLOT_DIVISOR = 4
 """A replica whose agent is silent is sent to directly, with this part of
 its slots at the most: several entries do so at a time and none knows of
 the others. Up to all slots from each would fill the replicas' own queues
@@ -69,7 +69,7 @@
         self._suspicion = suspicion
         self._clock = clock
         self._rng = rng
-        self._asker = Asker(slots, known.agent)
+        self._slot_requester = SlotRequester(slots, known.agent)
         self._holds = HoldTimes()
         self._started_ms = clock.now_ms()
         self._renewed: set[tuple[str, int]] = set()
@@ -95,15 +95,17 @@
         if not keeps:
             return self._direct(ordered[0])
         if self._has_no_agents(replicas):
-            return self._direct_with_room(ordered, want)
+            return self._direct_within_slots(ordered, want)
         chosen = self._with_outsiders(ordered, want)
-        asked = await self._asker.ask_in_turn(chosen, want, request_id)
+        replies = await self._slot_requester.request_slot(
+            chosen, want, request_id
+        )
         now_ms = self._clock.now_ms()
-        for replica in asked.away:
+        for replica in replies.absent:
             self._suspicion.failed(replica.life, now_ms)
-        if asked.granted is not None:
-            return self._granted(asked.granted, asked.attempt)
-        return await self._ask_again(asked, want, request_id)
+        if replies.granted is not None:
+            return self._granted(replies.granted, replies.attempt)
+        return await self._fall_back(replies, want, request_id)
 
     def _untried(self, want):
         """Return the partners that were not tried, else any others."""
@@ -125,14 +127,14 @@
         listed = self._known.listed(want.service)
         partners = self._known.partners(want.service)
         if len(listed) <= len(partners):
-            return ordered[:MOST_ASKED]
+            return ordered[:MAX_ASKED]
         ids = {replica.replica_id for replica in partners}
         outsiders = [
             replica
             for replica in draw_outsiders(listed, ids, self._rng)
             if replica.life not in want.avoid
         ]
-        return ordered[:MOST_ASKED] + outsiders
+        return ordered[:MAX_ASKED] + outsiders
 
     def _has_no_agents(self, replicas):
         waited_ms = self._clock.now_ms() - self._started_ms
@@ -140,16 +142,16 @@
             self._known.load(replica) for replica in replicas
         )
 
-    def _direct_with_room(self, ordered, want):
+    def _direct_within_slots(self, ordered, want):
         """Send to the first replica that this entry has not filled itself.
 
         Batch leaves half of the slots: nobody can revoke it.
         """
         for replica in ordered:
-            most = replica.slots
+            limit = replica.slots
             if want.use is Use.BATCH:
-                most = max(1, most // 2)
-            if self._known.own(replica) < most:
+                limit = max(1, limit // 2)
+            if self._known.own(replica) < limit:
                 return self._direct(replica)
         raise RequestError(
             ErrorKind.OVERLOADED,
@@ -157,20 +159,20 @@
             retry_after_ms=self._return_after_ms(want.service, 0),
         )
 
-    async def _ask_again(self, asked, want, request_id):
+    async def _fall_back(self, replies, want, request_id):
         """Send to a replica without agent, or wait at one with."""
-        full = asked.full
-        for replica in asked.unanswered:
-            most = max(1, replica.slots // DIRECT_SHARE)
+        full = replies.full
+        for replica in replies.unanswered:
+            limit = max(1, replica.slots // DIRECT_SLOT_DIVISOR)
             if want.use is Use.BATCH:
                 # Nobody there could revoke it for an online request.
-                most = 0 if full else 1
-            if self._known.own(replica) < most:
+                limit = 0 if full else 1
+            if self._known.own(replica) < limit:
                 return self._direct(replica)
         full.sort(key=self._expected_wait_ms)
         if full and want.wait_ms > 0:
             replica = full[0]
-            attempt = self._asker.attempt(want, request_id)
+            attempt = self._slot_requester.attempt(want, request_id)
             verdict = await self._slots.ask(
                 attempt, self._known.agent(replica), want.wait_ms
             )
@@ -243,4 +245,4 @@
         self._renewed = self._partner_agents()
         self._slots.renew(self._renewed)
         self._slots.forget_but(self._renewed)
-        self._suspicion.keep_only(self._known.lives())
+        self._suspicion.keep_only(self._known.incarnations())
--- a/dahliashunt/forwarding/replicas.py
+++ b/dahliashunt/forwarding/replicas.py
@@ -93,23 +93,23 @@
         self._lapsed_ms_by_id.pop(replica_id, None)
         if held != replica:
             if held is not None and held.address != replica.address:
-                self._leave_address(held)
+                self._remove_from_address(held)
             self._replica_by_id[replica_id] = replica
             at_address = self._ids_by_address.setdefault(
                 replica.address, set()
             )
             at_address.add(replica_id)
             self._usable_by_service.clear()
-        self._choose(replica.address)
+        self._update_current(replica.address)
 
-    def _leave_address(self, replica):
+    def _remove_from_address(self, replica):
         at_address = self._ids_by_address[replica.address]
         at_address.discard(replica.replica_id)
         if not at_address:
             del self._ids_by_address[replica.address]
-        self._choose(replica.address)
+        self._update_current(replica.address)
 
-    def _choose(self, address):
+    def _update_current(self, address):
         at_address = self._ids_by_address.get(address, ())
         newest = max(at_address, key=self._version_by_id.get, default=None)
         if newest == self._current_by_address.get(address):
@@ -151,7 +151,7 @@
         self._lapsed_ms_by_id.pop(replica_id, None)
         if replica is not None:
             self._usable_by_service.clear()
-            self._leave_address(replica)
+            self._remove_from_address(replica)
         self._version_by_id.pop(replica_id, None)
         self._warm_at_ms_by_id.pop(replica_id, None)
 
--- a/dahliashunt/forwarding/tests/test_catalog.py
+++ b/dahliashunt/forwarding/tests/test_catalog.py
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("route", [7, None, {}, {"name": "x", "host": 3}])
-def test_a_route_that_is_none_is_left_out(route):
+def test_a_malformed_route_is_listed_as_broken(route):
     catalog = catalog_of(route, route_fields())
     assert [type(each) for each in catalog.broken] == [BrokenRoute]
     assert len(catalog.routes) == 1
--- a/dahliashunt/forwarding/tests/test_follower.py
+++ b/dahliashunt/forwarding/tests/test_follower.py
@@ -76,10 +76,10 @@
 
 
 @pytest.fixture
-def followed():
-    """Return ``play(use, scenario)``, with a follower that runs."""
+def run_follower():
+    """Return ``follow(use, scenario)``, with a follower that runs."""
 
-    def play(use, scenario):
+    def follow(use, scenario):
         async def main():
             clock = VirtualClock()
             feed, listener = Feed(clock), Listener(clock)
@@ -101,10 +101,10 @@
 
         asyncio.run(main())
 
-    return play
+    return follow
 
 
-def test_calls_of_a_busy_table_do_not_grow_with_its_changes(followed):
+def test_calls_of_a_busy_table_do_not_grow_with_its_changes(run_follower):
     # With ninety entries the results of all batch jobs are listed 25 times
     # a second. Each listing answered the call of every entry, which called
     # again at once: two thousand calls a second for news that only a job's
@@ -126,10 +126,10 @@
         )
         assert lag_ms <= gather_ms + 2 * CALL_MS
 
-    followed(FeedUse.PROGRESS, scenario)
+    run_follower(FeedUse.PROGRESS, scenario)
 
 
-def test_a_change_after_a_quiet_time_is_heard_at_once(followed):
+def test_a_change_after_a_quiet_time_is_delivered_at_once(run_follower):
     # A replica reports that it leaves while nothing else happens: the
     # pause must not delay the one change that counts.
     async def scenario(clock, feed, listener):
@@ -138,10 +138,10 @@
         await clock.advance(2 * CALL_MS)
         assert "progress/0/a" in listener.heard_ms_by_key
 
-    followed(FeedUse.REPLICAS, scenario)
+    run_follower(FeedUse.REPLICAS, scenario)
 
 
-def test_configurations_in_quick_succession_are_not_gathered(followed):
+def test_configurations_in_quick_succession_are_not_gathered(run_follower):
     # An operator's change has a bound of its own, from the store's answer
     # to the last node: it must not wait behind the change before it.
     async def scenario(clock, feed, listener):
@@ -151,4 +151,4 @@
             await clock.advance(3 * CALL_MS)
             assert key in listener.heard_ms_by_key
 
-    followed(FeedUse.CONFIGURATION, scenario)
+    run_follower(FeedUse.CONFIGURATION, scenario)
--- a/dahliashunt/forwarding/tests/test_node.py
+++ b/dahliashunt/forwarding/tests/test_node.py
@@ -50,7 +50,7 @@
     asyncio.run(main())
 
 
-def test_without_the_store_nobody_is_held(node, clock):
+def test_without_the_store_requests_do_not_wait_longer(node, clock):
     async def main():
         await clock.advance(FIRST_READ_MS)
         async with asyncio.timeout(LIMIT_S):
@@ -60,7 +60,7 @@
     assert node.catalog is None
 
 
-def test_the_longer_it_lasts_the_later_callers_return(node, clock):
+def test_retry_after_grows_with_the_outage(node, clock):
     # All entries were started while the store is away for seconds. Callers
     # came back after 300 ms each, were refused again and gave up.
     least_ms, most_ms = OUTAGE_MS
--- a/dahliashunt/forwarding/tests/test_placing.py
+++ b/dahliashunt/forwarding/tests/test_placing.py
@@ -16,8 +16,8 @@
 from dahliashunt.forwarding.known_replicas import KnownReplicas
 from dahliashunt.forwarding.partners import Partners
 from dahliashunt.forwarding.place import Want
-from dahliashunt.forwarding.placing import DIRECT_SHARE
-from dahliashunt.forwarding.placing import MOST_ASKED
+from dahliashunt.forwarding.placing import DIRECT_SLOT_DIVISOR
+from dahliashunt.forwarding.placing import MAX_ASKED
 from dahliashunt.forwarding.placing import NO_AGENTS_MS
 from dahliashunt.forwarding.placing import Places
 from dahliashunt.forwarding.replicas import Replica
@@ -91,33 +91,33 @@
     return asyncio.run(places.find(want, "r", keeps))
 
 
-def count(places, **how):
+def count_places(places, **options):
     """Return how many places are given before a refusal."""
     given = 0
     while True:
         try:
-            find(places, **how)
+            find(places, **options)
         except RequestError as error:
             assert error.kind is ErrorKind.OVERLOADED
             return given
         given += 1
 
 
-def test_entries_that_are_up_before_the_agents_send_little(places):
+def test_direct_requests_are_limited_before_agents_start(places):
     # Everything was restarted; entries are up first. Each would fill the
     # replicas on its own, and requests wait in the replicas' queues.
-    assert count(places) == 2 * SLOTS // DIRECT_SHARE
+    assert count_places(places) == 2 * SLOTS // DIRECT_SLOT_DIVISOR
 
 
 def test_a_service_without_agents_is_used_whole(places, clock, slots):
     asyncio.run(clock.advance(NO_AGENTS_MS + 1))
-    assert count(places) == 2 * SLOTS
+    assert count_places(places) == 2 * SLOTS
     assert slots.asked == []
 
 
 def test_batch_without_agents_leaves_room(places, clock):
     asyncio.run(clock.advance(NO_AGENTS_MS + 1))
-    assert count(places, use=Use.BATCH) == SLOTS
+    assert count_places(places, use=Use.BATCH) == SLOTS
 
 
 def test_a_full_fleet_is_waited_for_once_and_only_in_time(places, slots):
@@ -136,13 +136,13 @@
     assert slots.released == [place.attempt_id]
 
 
-def test_batch_goes_nowhere_directly_beside_a_full_keeper(places, slots):
+def test_batch_is_not_sent_directly_while_an_agent_is_full(places, slots):
     slots.verdict_by_host = {"a": Verdict.FULL}
     with pytest.raises(RequestError):
         find(places, use=Use.BATCH)
 
 
-def test_agents_that_are_gone_do_not_use_up_the_objective(places, slots):
+def test_unresponsive_agents_do_not_use_up_the_objective(places, slots):
     # A restorer's request meets a fleet of which some machines lost power
     # a moment ago. It was asked at one after the other, 75 ms each, and
     # reached a live replica when its 300 ms were over.
@@ -170,14 +170,14 @@
     assert slots.asked == []
 
 
-MANY = [f"r{n}" for n in range(5 * MOST_PARTNERS)]
+REPLICA_IDS = [f"r{n}" for n in range(5 * MOST_PARTNERS)]
 
 
 @pytest.fixture
 def large(slots, clock):
     """Places of an entry before five times as many replicas."""
     book = ReplicaBook()
-    for name in MANY:
+    for name in REPLICA_IDS:
         book.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
     return make_places(book, slots, clock)
 
@@ -185,25 +185,25 @@
 def test_a_full_large_service_is_asked_beyond_the_partners(large, slots):
     # All partners of one entry are full while others idle: its callers
     # would be refused beside free replicas.
-    slots.verdict_by_host = dict.fromkeys(MANY, Verdict.FULL)
+    slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, Verdict.FULL)
     for _ in range(60):
         with pytest.raises(RequestError):
             find(large)
     assert len({host for host, _ in slots.asked}) > 3 * MOST_PARTNERS
-    assert len(slots.asked) <= 60 * (MOST_ASKED + OUTSIDERS)
+    assert len(slots.asked) <= 60 * (MAX_ASKED + OUTSIDERS)
 
 
 def test_only_partners_are_asked_while_they_have_room(large, slots):
-    slots.verdict_by_host = dict.fromkeys(MANY, Verdict.GRANTED)
+    slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, Verdict.GRANTED)
     for _ in range(200):
         find(large).release()
     assert len({host for host, _ in slots.asked}) <= MOST_PARTNERS
 
 
 def test_others_are_used_when_every_partner_was_tried(large, slots, clock):
-    slots.verdict_by_host = dict.fromkeys(MANY, Verdict.GRANTED)
+    slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, Verdict.GRANTED)
     book = ReplicaBook()
-    for name in MANY:
+    for name in REPLICA_IDS:
         book.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
     partners = Partners(book, "entry-1").of_service("s")
     place = find(large, avoid=[replica.life for replica in partners])
--- a/dahliashunt/forwarding/tests/test_replicas.py
+++ b/dahliashunt/forwarding/tests/test_replicas.py
@@ -38,7 +38,7 @@
     assert names(book) == ["b"]
 
 
-def test_a_removed_replica_is_gone_at_once_in_calm_times(book):
+def test_a_removed_replica_is_dropped_at_once_without_an_outage(book):
     book.remove("a", 1_000)
     assert names(book) == ["b"]
 
@@ -55,7 +55,7 @@
     assert names(book) == ["a"]
 
 
-def test_a_new_replica_ends_the_one_at_its_address(book):
+def test_a_new_replica_replaces_the_one_at_its_address(book):
     # A machine lost power and came back with a new replica; requests for
     # the one before were sent there and refused, again and again.
     book.put(replica("c", 0), 2, 0)
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("new", ["0-new", "z-new"])
-def test_the_later_written_one_of_a_whole_list_counts(new):
+def test_the_latest_written_row_of_an_address_is_used(new):
     # After a loss of power everywhere an entry reads a list with the dead
     # replicas and the new ones, in order of their names. It took the last
     # one for the new one, forgot the other, and half of all requests were
@@ -76,13 +76,13 @@
     assert names(book) == [new]
 
 
-def test_the_earlier_one_counts_again_if_the_later_one_goes(book):
+def test_the_earlier_row_is_used_again_when_the_later_is_removed(book):
     book.put(replica("c", 0), 2, 0)
     book.remove("c", 0)
     assert names(book) == ["a", "b"]
 
 
-def test_a_restart_under_the_same_name_is_another_life(book):
+def test_a_restart_under_the_same_name_is_a_new_incarnation(book):
     before = book.get("a").life
     book.put(replica("a", 0, born_ms=5), 2, 0)
     assert book.get("a").life != before
