--- a/dahliashunt/forwarding/__init__.py
+++ b/dahliashunt/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Forward callers' requests to replicas and relay what they answer."""
+"""Forward callers' requests to replicas and relay the responses."""
 
 from dahliashunt.lazy import lazy_names
 
--- a/dahliashunt/forwarding/forwarder.py
+++ b/dahliashunt/forwarding/forwarder.py
@@ -1,14 +1,14 @@
-"""Run one request: place, send, relay, repeat where that is allowed.
+"""Forward one request: reserve a replica, send, relay, retry if allowed.
 
-The states of an attempt, and what may follow:
+What may follow an attempt:
 
-- never sent, or refused by its replica as not run: any other replica, and
-  if there is none a refusal that truly says "not run";
-- sent and lost: another replica only if the request is repeatable and
-  its attempts are not used up, else "outcome unknown";
-- a stream that broke off after events: goes on at another replica from
-  the last whole event, within the same answer, else the answer is cut so
-  that it does not look whole.
+- not sent, or refused by its replica as not run: another replica; without
+  one, an error that says "not run";
+- sent and lost: another replica if the request is repeatable and attempts
+  are left, else "outcome unknown";
+- a stream that broke off after events: resumes at another replica after
+  the last complete event, within the same response; else the response is
+  truncated so that it can't look complete.
 """
 
 from dataclasses import dataclass
@@ -38,29 +38,27 @@
 __all__ = ["AnswerCut", "Forwarder"]
 
 START_MS = 40
-"""Time a placed request needs to its first event on an idle slot: connect,
-some 4 ms to read 350 tokens, 20 ms to the first event, and the way back.
-What is left of the objective before it may be waited."""
+"""Time from a slot to the first event on an idle replica; the rest of the
+objective may be spent waiting for the slot."""
 
 RESUME_WAIT_MS = 1_200
-"""A broken stream may wait so long for a slot elsewhere: callers leave
-after a pause of two seconds at least."""
+"""Longest wait of a lost request for a slot elsewhere; below the shortest
+pause after which callers leave."""
 
 LATE_WAIT_MS = 1_200
-"""What a request that can't be in time any more may wait for a slot: two
-turns of a full fleet, and well under the two seconds after which callers
-leave."""
+"""Longest wait for a slot past the objective; below the shortest pause
+after which callers leave."""
 
 MAX_NOT_RUN_ATTEMPTS = 6
-"""Replicas tried one after another that proved not to have run it."""
+"""Attempts that may end as not run before the call is given up."""
 
 
 class AnswerCut(RequestError):
-    """An answer broke off after its start; it must not look whole."""
+    """A response broke off after its start and must not look complete."""
 
 
 class Forwarder:
-    """Forwards calls; holds what all of them share.
+    """Forwards calls; holds the dependencies that all calls share.
 
     Parameters
     ----------
@@ -98,23 +96,23 @@
     async def serve(
         self, call: Call, route: Route, keeps: bool, sink: AnswerSink
     ) -> None:
-        """Answer `call` into `sink`.
+        """Forward `call` and relay the response to `sink`.
 
-        Cancelling this ends the work at the replica at once.
+        Cancelling this stops the work at the replica at once.
 
         Raises
         ------
         RequestError
-            There is no answer; nothing was sent to `sink`.
+            There is no response; nothing was sent to `sink`.
         AnswerCut
-            The answer broke off.
+            The response broke off.
         """
         await _ForwardedCall(self, call, route, keeps, sink).serve()
 
 
 @dataclass(frozen=True, slots=True)
 class _WaitLimits:
-    """How long a request may wait, and how long and still be in time."""
+    """Longest wait for a slot, and longest that meets the objective."""
 
     wait_ms: int
     slack_ms: int
@@ -124,7 +122,7 @@
 
 
 class _ForwardedCall:
-    """One call on its way."""
+    """One call over all its attempts."""
 
     def __init__(self, forwarder, call, route, keeps, sink):
         self._forwarder = forwarder
@@ -191,7 +189,7 @@
                 return
 
     def _refuse_poison(self):
-        """End a request that was lost with each replica so far."""
+        """Refuse a request that was lost with each replica that ran it."""
         if not self._forwarder.losses.is_convicted(self._digest):
             return
         self._record("convicted", digest=self._digest)
@@ -205,8 +203,6 @@
     def _age_ms(self):
         return self._clock.now_ms() - self._call.arrived_ms
 
-    # Placing.
-
     async def _place(self):
         try:
             return await self._find(self._wait_limits(), self._tried)
@@ -230,10 +226,10 @@
         )
 
     def _wait_limits(self):
-        """Return how long this request may wait for a slot by now."""
+        """Return how long this request may still wait for a slot."""
         left_ms = max(0, self._state.deadline_ms - self._clock.now_ms())
         if self._state.ran:
-            # It was taken on and lost: worth a wait, though late.
+            # A request that was run and lost may wait past its objective.
             wait_ms = min(RESUME_WAIT_MS, left_ms)
             return _WaitLimits(wait_ms, wait_ms)
         age_ms = self._waited_ms + self._age_ms()
@@ -242,7 +238,7 @@
         return _WaitLimits(min(slack_ms + LATE_WAIT_MS, left_ms), slack_ms)
 
     def _refuse(self, error):
-        """Turn a missing place into the answer that is true by now."""
+        """Raise `error`, adapted to what has already run or been sent."""
         self._record("refused", reason=error.kind.value)
         if self._state.started:
             raise AnswerCut(error.kind, error.message, Ran.YES) from None
@@ -268,8 +264,6 @@
         )
         return await attempt.run()
 
-    # After an attempt.
-
     def _record_failure(self, replica, end, began_ms):
         self._tried.add(replica.life)
         if end is AttemptEnd.LOST:
@@ -293,7 +287,7 @@
             return self._not_run_count < MAX_NOT_RUN_ATTEMPTS
         is_stream = self._route.kind is RouteKind.STREAM
         if self._state.started and not is_stream:
-            # A second run's bytes must not follow a first one's.
+            # Bytes of two runs must not be mixed in one response.
             return False
         return self._state.may_retry
 
--- a/dahliashunt/forwarding/known_replicas.py
+++ b/dahliashunt/forwarding/known_replicas.py
@@ -1,4 +1,4 @@
-"""What an entry knows of each replica, and in which order it asks them."""
+"""State of the replicas known to an entry, and their order of preference."""
 
 import random
 
@@ -16,26 +16,26 @@
 __all__ = ["KnownReplicas"]
 
 UNHEARD_AGE_MS = 3_600_000
-"""Age of what is known of a replica whose agent has said nothing."""
+"""Assumed age of the load of a replica whose agent was never heard of."""
 
 
 class KnownReplicas:
-    """Joins the list, agents' states, suspicion and own requests.
+    """Combines the list, agents' loads, suspicion and own requests.
 
     Parameters
     ----------
     book : ReplicaBook
     partners : Partners
-        Which replicas of a service are asked first.
+        Select the replicas of a service that are asked first.
     slots : SlotClient
     suspicion : Suspicion
     clock : Clock
     rng : random.Random
     data_centre : str
     agent_port : int
-        Where agents listen, on the machine of their replica.
+        Port of the agents on their replicas' hosts.
     is_connected : callable
-        Tells whether an idle connection to an address stands.
+        Given an address, returns whether an idle connection to it exists.
     """
 
     def __init__(
@@ -74,23 +74,23 @@
         return self._partners.of_service(service)
 
     def incarnations(self) -> set:
-        """Return the lives of all replicas that are listed."""
+        """Return the incarnations of all listed replicas."""
         return {replica.life for replica in self._book.all()}
 
     def agent(self, replica: Replica) -> tuple[str, int]:
-        """Return where the replica's agent listens."""
+        """Return the address of the replica's agent."""
         return (replica.host, self._agent_port)
 
     def load(self, replica: Replica):
-        """Return what its agent last said and when, or None."""
+        """Return the last load its agent reported, with time, or None."""
         return self._slots.known_by_address.get(self.agent(replica))
 
     def own(self, replica: Replica) -> int:
-        """Return how many requests of this entry it has."""
+        """Return the number of this entry's requests at the replica."""
         return self._own_by_incarnation.get(replica.life, 0)
 
     def count(self, replica: Replica, by: int) -> None:
-        """Add to the requests of this entry there."""
+        """Add `by` to the number of this entry's requests there."""
         count = self.own(replica) + by
         if count > 0:
             self._own_by_incarnation[replica.life] = count
@@ -129,10 +129,7 @@
         )
 
     def views(self, service: str) -> list[ReplicaView]:
-        """Return what is known of a service's replicas.
-
-        Those that are asked first come first.
-        """
+        """Return views of a service's replicas, partners first."""
         partners = self.partners(service)
         ids = {replica.replica_id for replica in partners}
         others = [
--- a/dahliashunt/forwarding/losses.py
+++ b/dahliashunt/forwarding/losses.py
@@ -1,7 +1,7 @@
 """Share the counts of lost requests between entries.
 
-A row a digest, written only at a loss and when one is cleared. An entry
-that can't write counts on its own.
+There is one row per digest, written at a loss and deleted when the request
+is served. An entry that can't write keeps counting locally.
 """
 
 import asyncio
@@ -24,21 +24,20 @@
 LOSSES_PREFIX = "losses//"
 
 MAX_QUEUED_WRITES = 64
-"""Writes that wait for the store; with more a store's outage is on, and
-counts stay with this entry."""
+"""Writes that may wait for the store; further counts stay local."""
 
 
 def request_fingerprint(host: str, call: Call) -> Fingerprint:
-    """Return what is equal for resends of one request."""
+    """Return a fingerprint that is equal for resends of one request."""
     digest = hashlib.blake2b(call.body, digest_size=12)
     digest.update(f"\0{host}\0{call.method}\0{call.target}".encode())
     return Fingerprint(digest.hexdigest())
 
 
 class SharedLosses:
-    """Counts of this entry and of all others.
+    """Loss counts of this entry and of all others.
 
-    Also the listener of the feed of `LOSSES_PREFIX`.
+    Listens to the feed of `LOSSES_PREFIX`.
     """
 
     def __init__(self, table: TableService, clock: Clock, log):
@@ -51,14 +50,14 @@
     def lost(
         self, digest: Fingerprint, request_id: str, began_ms: int
     ) -> None:
-        """Note that the request was lost with its replica.
+        """Count a request that was lost with its replica.
 
         Parameters
         ----------
         digest : Fingerprint
         request_id : str
         began_ms : int
-            When it was sent there.
+            Time at which the request was sent to the replica.
         """
         now_ms = self._clock.now_ms()
         before = self._counts.losses(digest, now_ms)
@@ -73,40 +72,38 @@
             self._put(digest)
 
     def served(self, digest: Fingerprint) -> None:
-        """Note that the request was served."""
+        """Clear the losses of a request that was served."""
         if self._counts.served(digest):
             self._put(digest)
 
     def is_convicted(self, digest: Fingerprint) -> bool:
-        """Tell whether the request is not to be sent any more."""
+        """Return whether the request must not be sent again."""
         return self._counts.is_convicted(digest, self._clock.now_ms())
 
     def _put(self, digest):
         if not self._queue.full():
             self._queue.put_nowait(digest)
 
-    # Listener of the feed.
-
     def replaced(self, rows) -> None:
-        """Take over all counts."""
+        """Learn the counts of a whole table."""
         for row in rows:
             self.changed(row)
 
     def changed(self, row: Row) -> None:
-        """Take over one count."""
+        """Learn one count."""
         if row.value.isdigit():
             digest = Fingerprint(row.key.removeprefix(LOSSES_PREFIX))
             self._counts.learn(digest, int(row.value), self._clock.now_ms())
 
     def removed(self, key: str) -> None:
-        """Another entry has served the request."""
+        """Clear the losses of a request that another entry has served."""
         self._counts.served(Fingerprint(key.removeprefix(LOSSES_PREFIX)))
 
     def outage_ended(self) -> None:
-        """Nothing to do: the feed goes on where it stopped."""
+        """Do nothing: the feed continues where it stopped."""
 
     async def run(self) -> None:
-        """Write counts, for ever."""
+        """Write queued counts until cancelled."""
         while True:
             digest = await self._queue.get()
             try:
@@ -116,15 +113,15 @@
                 TransactionConflict,
                 WriteOutcomeUnknown,
             ) as error:
-                # Counted here in any case; the next loss is written anew.
+                # The local count stays and is written with the next loss.
                 self._log.warning(
                     "loss_not_shared", digest=digest, reason=str(error)
                 )
 
     async def _write(self, digest):
-        """Bring the row up to this entry's count, or drop it with that.
+        """Raise the row to this entry's count, or delete it if that is 0.
 
-        The higher count stands: one replica that is lost with the same
+        Counts are merged by maximum: a replica that is lost with the same
         request of several entries is one loss.
         """
         key = f"{LOSSES_PREFIX}{digest}"
--- a/dahliashunt/forwarding/node.py
+++ b/dahliashunt/forwarding/node.py
@@ -1,4 +1,4 @@
-"""What one entry node knows and does, apart from protocols."""
+"""State and decisions of one entry node, independent of protocols."""
 
 import asyncio
 import contextlib
@@ -25,23 +25,20 @@
 __all__ = ["Node"]
 
 STALE_MS = 2_000
-"""A node that did not hear of its configuration for so long is cut off
-from the store, or the store is away: a feed's call ends after 1.7 s at
-the latest, and the next one is answered at once. What it does not know is
-then refused as not run, jobs are refused at once, and new connections are
-better made elsewhere."""
+"""Age of the last configuration read from which a node counts as cut off
+from the store; above the longest duration of one feed call."""
 
 MAX_LOGGED_ERRORS = 10
-"""Broken routes that are named in the log; `route list` shows all."""
+"""Broken routes or workspaces logged per revision; `route list` shows all
+routes."""
 
 RETRY_MS = 300
-"""Retry-After where this node alone may be behind: another one takes the
+"""Retry-After if only this node may be outdated; another may take the
 retry."""
 
 FIRST_READ_MS = 200
-"""A request that comes while the first configuration is being read waits
-for it up to so long: two reads of a slow store, and less than an objective.
-Refused, its caller would come back later than that."""
+"""Longest wait of a request for the first configuration after a start;
+below an objective, and shorter than a refused caller's retry."""
 
 
 class Node:
@@ -50,14 +47,14 @@
     Attributes
     ----------
     catalog : Catalog or None
-        The newest configuration seen; it never goes back.
+        The configuration in force; its revision never decreases.
     adopted_ms : int or None
-        When it came into force here.
-    former : Catalog or None
-        The one before it.
+        Time at which it came into force here.
+    previous_catalog : Catalog or None
+        The configuration before it.
     book : ReplicaBook
     leaving : asyncio.Event
-        Set when this node was told to stop.
+        Set when this node is told to stop.
     """
 
     def __init__(
@@ -95,16 +92,15 @@
 
     @property
     def busy(self) -> int:
-        """Requests in progress."""
+        """Number of requests in progress."""
         return self._in_flight
 
     @property
     def ready(self) -> bool:
-        """Whether new connections should come here.
+        """Whether the node should get new connections.
 
-        Without a configuration nothing can be served. A node without the
-        store still serves what it knows, but takes no jobs and misses
-        changes; if all nodes lose it none is preferred to another.
+        A node that is cut off from the store still serves the routes it
+        knows, but takes no jobs and misses changes.
         """
         return (
             self.catalog is not None
@@ -113,10 +109,9 @@
         )
 
     def adopt(self, catalog: Catalog) -> None:
-        """Take over a configuration unless it is older than the one held.
+        """Put a configuration in force if it is newer than the current one.
 
-        A late or doubled read must not bring back a route that was
-        dropped: revisions only grow within a process's life.
+        A late or duplicate read must not bring back a deleted route.
         """
         current = self.catalog
         if current is not None and catalog.revision <= current.revision:
@@ -150,9 +145,8 @@
     async def first_read(self) -> None:
         """Wait for the first configuration if this node has just started.
 
-        The failure it guards against: after a restart of everything
-        callers come back while each entry listens and still reads; they
-        would be refused for a few milliseconds' sake.
+        After a restart of the whole fleet requests arrive before the first
+        read has completed; they would be refused.
         """
         left_ms = self._started_ms + FIRST_READ_MS - self.clock.now_ms()
         if self.catalog is not None or left_ms <= 0:
@@ -167,7 +161,7 @@
         Raises
         ------
         RequestError
-            There is none, or this node cannot tell.
+            No route matches, or this node may be outdated.
         """
         self._require_configuration()
         route = self.catalog.match(host, path)
@@ -199,12 +193,12 @@
         return self.catalog is not None and self.catalog.workspaces is not None
 
     def caller_on(self, route: Route, key: str | None) -> Workspace | None:
-        """Return in whose name a request on `route` runs; None for nobody.
+        """Return the workspace of a request on `route`, or None.
 
         Raises
         ------
         RequestError
-            The route wants a key and the caller has none that is known.
+            The route requires a key and the caller has no known one.
         """
         if route.public and self.asks_for_keys:
             found = self.catalog.workspaces.of_key(key or "")
@@ -214,12 +208,12 @@
         return workspace
 
     def caller(self, key: str | None) -> Workspace | None:
-        """Return whose key this is; None without a key or workspaces.
+        """Return the workspace of `key`; None without a key or workspaces.
 
         Raises
         ------
         RequestError
-            Nobody has the key, or this node cannot tell.
+            The key is unknown, or this node may be outdated.
         """
         self._require_configuration()
         workspaces = self.catalog.workspaces
@@ -239,18 +233,18 @@
         raise RequestError(ErrorKind.UNAUTHENTICATED, "nobody has this key")
 
     def demand_key(self, workspace: Workspace | None) -> None:
-        """Raise unless a caller is known or none has to be."""
+        """Raise `RequestError` if a key is required and there is none."""
         if workspace is None and self.asks_for_keys:
             raise RequestError(ErrorKind.UNAUTHENTICATED, "a key is wanted")
 
     def is_stale(self) -> bool:
-        """Tell whether the store was not heard of for `STALE_MS`."""
+        """Return whether the last read is older than `STALE_MS`."""
         heard_ms = self.config_heard()
         now_ms = self.clock.now_ms()
         return heard_ms is None or now_ms - heard_ms > STALE_MS
 
     def keeps_slots(self, service: str) -> bool:
-        """Tell whether replicas of `service` have agents beside them."""
+        """Return whether the replicas of `service` have agents."""
         found = self.catalog.service_by_name.get(service)
         return found is not None and found.engine is not None
 
@@ -261,9 +255,9 @@
         sink: AnswerSink,
         workspace: Workspace | None = None,
     ) -> None:
-        """Answer `call` within its workspace's limit.
+        """Forward `call` within its workspace's rate limit.
 
-        See `Forwarder.serve`. What does not run is not counted.
+        See `Forwarder.serve`. A request that does not run is not counted.
         """
         revision = self.catalog.revision
         if workspace is not None and self.caps is not None:
@@ -281,7 +275,7 @@
 
 
 def _retry_elsewhere(message):
-    """Return the refusal of a caller whom another node may know."""
+    """Return the error for a request that another node may accept."""
     return RequestError(
         ErrorKind.STORE_UNAVAILABLE, message, retry_after_ms=RETRY_MS
     )
--- a/dahliashunt/forwarding/partners.py
+++ b/dahliashunt/forwarding/partners.py
@@ -1,4 +1,4 @@
-"""An entry's partners in each service, as the list stands."""
+"""Selection of an entry's partners in each service."""
 
 from dahliashunt.decisions.link_choice import choose_links
 from dahliashunt.decisions.partners import MOST_PARTNERS
@@ -10,13 +10,13 @@
 
 
 class Partners:
-    """Chooses anew whenever the list of a service has changed.
+    """Selects partners and caches them until a service's list changes.
 
     Parameters
     ----------
     book : ReplicaBook
     node_id : NodeId
-        Of this entry.
+        Id of this entry.
     """
 
     def __init__(self, book: ReplicaBook, node_id: NodeId):
--- a/dahliashunt/forwarding/place.py
+++ b/dahliashunt/forwarding/place.py
@@ -1,4 +1,4 @@
-"""What a place at a replica is wanted for, and what is held there."""
+"""Reservations of a replica for a request."""
 
 from dataclasses import dataclass
 
@@ -10,23 +10,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Want:
-    """What a place is wanted for.
+    """Requirements of a reservation.
 
     Attributes
     ----------
     service : str
     use : Use
     affinity : str
-        Names the deepest shared part of the prompt; empty for none.
+        Id of the deepest shared part of the prompt; empty for none.
     wait_ms : int
-        How long the request may wait for a slot.
+        Longest wait for a slot.
     slack_ms : int
-        Of a batch item: time until it is due. Of an online request: how
-        long it may wait and still be in time, 0 if it can't be.
+        Time until a batch item is due, or longest wait with which an online
+        request meets its objective; 0 if it can't.
     avoid : frozenset
-        Lives of replicas that were tried.
+        Incarnations of replicas that were tried.
     on_revoke : callable
-        Called when a granted slot is taken back.
+        Called when a granted slot is revoked.
     rank : int
         0 is the most urgent.
     """
@@ -42,7 +42,7 @@
 
 
 class Place:
-    """A replica to send to, and what is held there until `release`."""
+    """A replica to send to and the slot held there until `release`."""
 
     __slots__ = ("_release", "attempt_id", "replica")
 
@@ -52,7 +52,7 @@
         self._release = release
 
     def release(self) -> None:
-        """Give back what is held; a second call does nothing."""
+        """Release the slot; further calls do nothing."""
         release, self._release = self._release, None
         if release is not None:
             release()
--- a/dahliashunt/forwarding/placing.py
+++ b/dahliashunt/forwarding/placing.py
@@ -1,4 +1,4 @@
-"""Find a replica with a slot for a request."""
+"""Select a replica with a free slot for a request."""
 
 import asyncio
 import random
@@ -21,31 +21,27 @@
 __all__ = ["Places"]
 
 MAX_ASKED = 6
-"""Agents asked in turn before a request waits at one: some milliseconds,
-and with six replicas in ten full the chance to miss room is 1 in 20."""
+"""Partners' agents that are asked for a free slot before the request waits
+at one of them."""
 
 NO_REPLICA_RETRY_MS = 500
-"""Retry-After when a service has no replica: replicas come back, or new
-ones are listed, within a heartbeat or two of 1.2 s."""
+"""Retry-After for a service without replicas; shorter than a heartbeat,
+after which new replicas are listed."""
 
 DIRECT_SLOT_DIVISOR = 4
-"""A replica whose agent is silent is sent to directly, with this part of
-its slots at the most: several entries do so at a time and none knows of
-the others. Up to all slots from each would fill the replicas' own queues
-for seconds after a start, when entries are up before agents."""
+"""Divisor of a replica's slots that one entry may use while the agent is
+silent, since entries don't know of each other's requests there."""
 
 PROBE_MS = 100
-"""Between probes of silent agents, and looks for new replicas: a third of
-an objective, after which an agent that has started is asked."""
+"""Interval between probes of silent agents and checks for new replicas."""
 
 NO_AGENTS_MS = 10_000
-"""After so long without a word from any agent of a service, it is taken to
-have none: its replicas are sent to directly, up to their slots. Agents are
-up some three seconds after the entries where all start at once."""
+"""Time without a message from any agent of a service after which it counts
+as having none; longer than agents need to start."""
 
 
 class Places:
-    """Chooses replicas and asks their agents.
+    """Selects replicas and requests slots from their agents.
 
     Parameters
     ----------
@@ -75,20 +71,20 @@
         self._renewed: set[tuple[str, int]] = set()
 
     async def find(self, want: Want, request_id: str, keeps: bool) -> Place:
-        """Return a place for `want`.
+        """Reserve a replica for `want`.
 
         Parameters
         ----------
         want : Want
         request_id : str
-            The id under which the replica will list the request.
+            Id under which the replica lists the request.
         keeps : bool
-            Whether the service's replicas have agents that keep slots.
+            Whether the service's replicas have agents.
 
         Raises
         ------
         RequestError
-            There is none; nothing ran because of this call.
+            No replica is free; nothing was run by this call.
         """
         replicas = self._untried(want)
         ordered = self._known.ordered(replicas, want.affinity)
@@ -108,7 +104,7 @@
         return await self._fall_back(replies, want, request_id)
 
     def _untried(self, want):
-        """Return the partners that were not tried, else any others."""
+        """Return the untried partners, or the other untried replicas."""
         for listed in (
             self._known.partners(want.service),
             self._known.listed(want.service),
@@ -123,7 +119,7 @@
         )
 
     def _with_outsiders(self, ordered, want):
-        """Return whom to ask: the best partners, then some others."""
+        """Return the best partners, followed by some other replicas."""
         listed = self._known.listed(want.service)
         partners = self._known.partners(want.service)
         if len(listed) <= len(partners):
@@ -143,9 +139,9 @@
         )
 
     def _direct_within_slots(self, ordered, want):
-        """Send to the first replica that this entry has not filled itself.
+        """Reserve the first replica with fewer own requests than slots.
 
-        Batch leaves half of the slots: nobody can revoke it.
+        Batch items use half of the slots, since they can't be revoked.
         """
         for replica in ordered:
             limit = replica.slots
@@ -160,12 +156,12 @@
         )
 
     async def _fall_back(self, replies, want, request_id):
-        """Send to a replica without agent, or wait at one with."""
+        """Reserve a replica whose agent is silent, or wait for a slot."""
         full = replies.full
         for replica in replies.unanswered:
             limit = max(1, replica.slots // DIRECT_SLOT_DIVISOR)
             if want.use is Use.BATCH:
-                # Nobody there could revoke it for an online request.
+                # A batch item there could not be revoked.
                 limit = 0 if full else 1
             if self._known.own(replica) < limit:
                 return self._direct(replica)
@@ -216,11 +212,11 @@
         return Place(replica, "", release)
 
     def hold_ms(self, service: str) -> int:
-        """Return how long online requests hold a slot, as learned here."""
+        """Return the mean time that online requests hold a slot here."""
         return self._holds.mean_ms(service)
 
     async def keep_states(self, every_ms: int) -> None:
-        """Renew holds and hear of loads, for ever."""
+        """Renew slots and update loads until cancelled."""
         renewed_ms = -every_ms
         while True:
             now_ms = self._clock.now_ms()
@@ -231,7 +227,7 @@
             await asyncio.sleep(min(every_ms, PROBE_MS) / 1000)
 
     def _has_new_partners(self):
-        """Tell whether there is an agent that was never called."""
+        """Return whether a partner's agent was not yet contacted."""
         return not self._partner_agents() <= self._renewed
 
     def _partner_agents(self):
--- a/dahliashunt/forwarding/ports.py
+++ b/dahliashunt/forwarding/ports.py
@@ -1,4 +1,4 @@
-"""What forwarding needs of the replicas' dialect and of the answer's way."""
+"""Protocols of the replicas' dialect and of the response's receiver."""
 
 from typing import Protocol
 
@@ -10,28 +10,28 @@
 
 
 class ReplicaDialect(Protocol):
-    """How replicas are spoken to."""
+    """Encodes requests to replicas and interprets their responses."""
 
     def request(
         self, call: Call, replica: Replica, left_ms: int, after_event: int
     ) -> bytes:
-        """Return the bytes of `call` towards `replica`."""
+        """Return the request bytes of `call` for `replica`."""
 
     def answers(self, call: Call, head: ResponseHead) -> bool:
-        """Tell whether `head` belongs to `call`."""
+        """Return whether `head` is a response to `call`."""
 
     def proves_not_run(self, head: ResponseHead) -> bool:
-        """Tell whether the replica says that it did not run the call."""
+        """Return whether the replica reports that it did not run the call."""
 
     def is_signed(self, head: ResponseHead) -> bool:
-        """Tell whether the answer bears its replica's signature."""
+        """Return whether the response has the replica's signature."""
 
     def relayed(self, head: ResponseHead) -> list[tuple[str, str]]:
-        """Return the headers that go on to the caller."""
+        """Return the headers that are relayed to the caller."""
 
 
 class AnswerSink(Protocol):
-    """Takes one answer towards a caller, in order."""
+    """Receives one response for a caller, in order."""
 
     async def start(
         self, status: int, headers: list[tuple[str, str]], length: int | None
@@ -42,4 +42,4 @@
         """Send a part of the body."""
 
     async def end(self) -> None:
-        """Mark the body as whole."""
+        """Mark the body as complete."""
--- a/dahliashunt/forwarding/replica_view.py
+++ b/dahliashunt/forwarding/replica_view.py
@@ -1,4 +1,4 @@
-"""A replica as one entry sees it, for people and their programs."""
+"""A replica as one entry sees it, for operators and their tools."""
 
 from dataclasses import dataclass
 import enum
@@ -7,7 +7,7 @@
 
 
 class ReplicaState(enum.Enum):
-    """Why a replica is asked first, or not."""
+    """State that decides a replica's order of preference."""
 
     USABLE = "usable"
     ABSENT = "absent, says its agent"
@@ -19,23 +19,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaView:
-    """What an entry knows of one replica.
+    """State of one replica as known to an entry.
 
     Attributes
     ----------
     replica, data_centre : str
     partner : bool
-        It is asked first, and its agent is heard.
+        Whether it is a partner of the entry, which is asked first.
     state : ReplicaState
     slots : int
     own : int
-        Requests that this entry has there.
+        Requests of this entry at the replica.
     age_ms : int or None
-        Of what its agent said; None if it said nothing.
+        Age of the load its agent reported; None without a report.
     free, batch : int
-        Slots that are idle, and that batch items hold.
+        Idle slots, and slots held by batch items.
     wait_ms : int
-        Expected wait of one more online request.
+        Expected wait of another online request.
     """
 
     replica: str
@@ -50,6 +50,6 @@
     wait_ms: int
 
     def fields(self) -> dict:
-        """Return the view as JSON takes it."""
+        """Return the view as a JSON object."""
         found = {name: getattr(self, name) for name in self.__slots__}
         return {**found, "state": self.state.value}
--- a/dahliashunt/forwarding/replicas.py
+++ b/dahliashunt/forwarding/replicas.py
@@ -1,4 +1,4 @@
-"""The replicas that may be sent to, as the platform's list says."""
+"""Registry of the replicas in the platform's list."""
 
 from dataclasses import dataclass
 
@@ -7,28 +7,28 @@
 __all__ = ["Replica", "ReplicaBook"]
 
 AFTER_OUTAGE_MS = 2_200
-"""Entries that lapsed in an outage of the list are back within two
-seconds of its end; until then the last list stands."""
+"""Time after an outage of the list during which lapsed rows stay usable;
+live replicas renew theirs within it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Replica:
-    """One life of one replica.
+    """One incarnation of a replica.
 
     Attributes
     ----------
     replica_id : str
-        Named in the list; a restart may keep it.
+        Id in the list; a restart may keep it.
     born_ms : int
-        Wall clock of its start, which tells its lives apart; 0 if the
-        list does not say.
+        Wall-clock time of its start, which identifies the incarnation; 0 if
+        unknown.
     service, host, port
     data_centre : DataCentreId
     slots : int
     leaving : bool
-        Takes no new requests.
+        Whether it refuses new requests.
     warm_in_ms : int
-        How much longer it is slow after its start.
+        Remaining warm-up time after its start.
     """
 
     replica_id: str
@@ -48,16 +48,16 @@
 
     @property
     def life(self) -> tuple[str, int]:
-        """What names this life of the replica."""
+        """Id and start time, which identify this incarnation."""
         return (self.replica_id, self.born_ms)
 
 
 class ReplicaBook:
-    """Follows the list; keeps lapsed entries for a while after an outage.
+    """Replicas by id, address and service.
 
-    The failure it guards against: the list's service goes away, entries
-    lapse unseen, and its first answer after the return is nearly empty. A
-    follower that believed it would refuse everything for two seconds.
+    Rows that lapse in an outage of the list are kept for `AFTER_OUTAGE_MS`:
+    the first list after an outage may be nearly empty although the replicas
+    are alive.
     """
 
     def __init__(self):
@@ -71,17 +71,15 @@
         self._outage_ended_ms: int | None = None
 
     def outage_ended(self, now_ms: int) -> None:
-        """Note that the list answers again after it did not."""
+        """Record the end of an outage of the list."""
         self._outage_ended_ms = now_ms
 
     def put(self, replica: Replica, version: int, now_ms: int) -> None:
-        """Take over one entry, which was written at `version`.
+        """Add or update the row of `replica`, written at `version`.
 
-        Of two entries with one address the later written one counts: a
-        machine that lost power comes back with another replica, while the
-        entry of the one before stands for some heartbeats more. The
-        earlier one is kept aside, not dropped, since a whole list comes
-        in no order of time.
+        Of several rows with one address the latest is used: after a crash a
+        new replica may start at the address while the old row has not yet
+        expired. Earlier rows are kept, since a list has no time order.
         """
         replica_id = replica.replica_id
         held = self._replica_by_id.get(replica_id)
@@ -121,7 +119,7 @@
             self._current_by_address[address] = newest
 
     def remove(self, replica_id: str, now_ms: int) -> None:
-        """Drop one entry, or mark it as lapsed shortly after an outage."""
+        """Remove a row, or mark it as lapsed shortly after an outage."""
         if replica_id not in self._replica_by_id:
             return
         ended_ms = self._outage_ended_ms
@@ -132,7 +130,7 @@
             self._forget(replica_id)
 
     def replace_all(self, replicas, now_ms: int) -> None:
-        """Take over a whole list of pairs of replica and version."""
+        """Replace the list by pairs of replica and version."""
         listed = {replica.replica_id for replica, _ in replicas}
         for replica_id in list(self._replica_by_id):
             if replica_id not in listed:
@@ -141,7 +139,7 @@
             self.put(replica, version, now_ms)
 
     def expire(self, now_ms: int) -> None:
-        """Drop lapsed entries that did not come back."""
+        """Remove lapsed rows that were not renewed in time."""
         for replica_id, until_ms in list(self._lapsed_ms_by_id.items()):
             if now_ms >= until_ms:
                 self._forget(replica_id)
@@ -156,23 +154,21 @@
         self._warm_at_ms_by_id.pop(replica_id, None)
 
     def is_cold(self, replica: Replica, now_ms: int) -> bool:
-        """Tell whether `replica` is still slow after its start.
+        """Return whether `replica` is still warming up.
 
-        The list says how much longer; the time runs on here between two
-        writes of the list.
+        The list has the remaining time as of its last write.
         """
         warm_at_ms = self._warm_at_ms_by_id.get(replica.replica_id)
         return warm_at_ms is not None and now_ms < warm_at_ms
 
     def get(self, replica_id: str) -> Replica | None:
-        """Return the entry called `replica_id`, or None."""
+        """Return the replica with the id `replica_id`, or None."""
         return self._replica_by_id.get(replica_id)
 
     def of_service(self, service: str) -> tuple[Replica, ...]:
         """Return the replicas of `service` that take new requests.
 
-        The same tuple until something of the list changes; requests ask
-        far more often than replicas come, go or change.
+        The result is cached: the same tuple until the list changes.
         """
         usable = self._usable_by_service.get(service)
         if usable is None:
@@ -189,9 +185,9 @@
         return not replica.leaving and current == replica.replica_id
 
     def services(self) -> set[str]:
-        """Return the services that any entry names."""
+        """Return the services of all listed replicas."""
         return {replica.service for replica in self._replica_by_id.values()}
 
     def all(self) -> list[Replica]:
-        """Return every entry."""
+        """Return all listed replicas."""
         return list(self._replica_by_id.values())
--- a/dahliashunt/forwarding/tests/test_catalog.py
+++ b/dahliashunt/forwarding/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""Thousands of routes, and some that can't be read."""
+"""Tests of route matching and of undecodable routes."""
 
 import json
 
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def node():
-    """Return a node that has heard of its configuration just now."""
+    """Return a node whose configuration was read just now."""
     clock = VirtualClock()
     node = Node(
         clock, None, Metrics("front"), structlog.get_logger(), book=None
@@ -52,10 +52,8 @@
 
 
 def test_a_broken_route_harms_only_itself(node):
-    # An operator's tool writes one route with a time that is no number
-    # among hundreds. The whole configuration was refused, so that every
-    # change of that night was missing; without its place the route's
-    # requests would go to the service of a shorter prefix.
+    # Guards against one undecodable route that blocks a configuration, or
+    # whose requests match a shorter prefix.
     broken = route_fields(name="odd", prefix="/a/odd/")
     broken["timeout-ms"] = "soon"
     whole = route_fields(name="whole")
--- a/dahliashunt/forwarding/tests/test_follower.py
+++ b/dahliashunt/forwarding/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""A table that all nodes write, followed by one of them."""
+"""Tests of following a table that many nodes write."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 from dahliashunt.ports.table import Row
 
 CALL_MS = 4
-"""What the store takes for an answer."""
+"""Duration of a call to the store."""
 
 
 class Feed:
@@ -55,7 +55,7 @@
 
 
 class Listener:
-    """Notes when each row was heard of."""
+    """Records when each row was received."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -77,7 +77,7 @@
 
 @pytest.fixture
 def run_follower():
-    """Return ``follow(use, scenario)``, with a follower that runs."""
+    """Return ``follow(use, scenario)``, which runs a follower."""
 
     def follow(use, scenario):
         async def main():
@@ -105,10 +105,7 @@
 
 
 def test_calls_of_a_busy_table_do_not_grow_with_its_changes(run_follower):
-    # With ninety entries the results of all batch jobs are listed 25 times
-    # a second. Each listing answered the call of every entry, which called
-    # again at once: two thousand calls a second for news that only a job's
-    # owner needs, and more with every machine.
+    # Guards against one call per entry for each change of a busy table.
     async def scenario(clock, feed, listener):
         written_ms_by_key = {}
         for number in range(500):
@@ -130,8 +127,7 @@
 
 
 def test_a_change_after_a_quiet_time_is_delivered_at_once(run_follower):
-    # A replica reports that it leaves while nothing else happens: the
-    # pause must not delay the one change that counts.
+    # Guards against a batching pause that delays a single change.
     async def scenario(clock, feed, listener):
         await clock.advance(5_000)
         feed.write("progress/0/a")
@@ -142,8 +138,7 @@
 
 
 def test_configurations_in_quick_succession_are_not_gathered(run_follower):
-    # An operator's change has a bound of its own, from the store's answer
-    # to the last node: it must not wait behind the change before it.
+    # Guards against a configuration that waits behind the previous change.
     async def scenario(clock, feed, listener):
         for number in range(10):
             key = f"progress/0/{number}"
--- a/dahliashunt/forwarding/tests/test_node.py
+++ b/dahliashunt/forwarding/tests/test_node.py
@@ -1,4 +1,4 @@
-"""An entry that has just started, with the store and without it."""
+"""Tests of a node that has just started, with and without the store."""
 
 import asyncio
 import random
@@ -39,8 +39,7 @@
 
 
 def test_a_request_waits_for_the_first_configuration(node):
-    # Everything was restarted. An entry listens, its first read is on its
-    # way, and the callers who come in these milliseconds were refused.
+    # Guards against refusals between an entry's start and its first read.
     async def main():
         asyncio.get_running_loop().call_later(0.01, node.adopt, EMPTY)
         async with asyncio.timeout(LIMIT_S):
@@ -61,8 +60,7 @@
 
 
 def test_retry_after_grows_with_the_outage(node, clock):
-    # All entries were started while the store is away for seconds. Callers
-    # came back after 300 ms each, were refused again and gave up.
+    # Guards against callers that use up their retries in an outage.
     least_ms, most_ms = OUTAGE_MS
     assert retry_ms(node) == least_ms
     asyncio.run(clock.advance(1_000))
--- a/dahliashunt/forwarding/tests/test_placing.py
+++ b/dahliashunt/forwarding/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""Where requests go when agents are silent, late or not there at all."""
+"""Tests of replica selection with silent, slow and missing agents."""
 
 import asyncio
 import random
@@ -27,12 +27,12 @@
 
 
 class FakeSlots:
-    """Agents by their verdicts; a missing one never answers.
+    """Slot client with preset verdicts; None for hosts without one.
 
     Attributes
     ----------
     hanging : set of str
-        Hosts whose agents keep an ask waiting for as long as the test.
+        Hosts whose agents never reply.
     """
 
     def __init__(self):
@@ -92,7 +92,7 @@
 
 
 def count_places(places, **options):
-    """Return how many places are given before a refusal."""
+    """Return the number of places given before a refusal."""
     given = 0
     while True:
         try:
@@ -104,8 +104,7 @@
 
 
 def test_direct_requests_are_limited_before_agents_start(places):
-    # Everything was restarted; entries are up first. Each would fill the
-    # replicas on its own, and requests wait in the replicas' queues.
+    # Guards against entries that fill the replicas' queues after a restart.
     assert count_places(places) == 2 * SLOTS // DIRECT_SLOT_DIVISOR
 
 
@@ -143,22 +142,19 @@
 
 
 def test_unresponsive_agents_do_not_use_up_the_objective(places, slots):
-    # A restorer's request meets a fleet of which some machines lost power
-    # a moment ago. It was asked at one after the other, 75 ms each, and
-    # reached a live replica when its 300 ms were over.
+    # Guards against sequential timeouts at the agents of crashed hosts.
     slots.hanging = {"a"}
     slots.verdict_by_host = {"b": Verdict.GRANTED}
     for _ in range(4):
         place = find(places)
         assert place.replica.replica_id == "b"
-    # What the agent that is gone might grant later is given back.
+    # A slot that a hanging agent may grant later is released.
     asked_a = sum(host == "a" for host, _ in slots.asked)
     assert len(slots.released) == asked_a
 
 
 def test_only_one_of_two_grants_is_kept(places, slots):
-    # Both answer while the entry was busy: a slot that nobody gives back
-    # would stand idle until the agent misses its renewals.
+    # Guards against a leaked slot when two agents grant at the same time.
     slots.verdict_by_host = {"a": Verdict.GRANTED, "b": Verdict.GRANTED}
     places_found = [find(places) for _ in range(10)]
     assert len(slots.asked) == len(places_found) + len(slots.released)
@@ -175,7 +171,7 @@
 
 @pytest.fixture
 def large(slots, clock):
-    """Places of an entry before five times as many replicas."""
+    """Return places for a service larger than the number of partners."""
     book = ReplicaBook()
     for name in REPLICA_IDS:
         book.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
@@ -183,8 +179,7 @@
 
 
 def test_a_full_large_service_is_asked_beyond_the_partners(large, slots):
-    # All partners of one entry are full while others idle: its callers
-    # would be refused beside free replicas.
+    # Guards against refusals while replicas beyond the partners are free.
     slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, Verdict.FULL)
     for _ in range(60):
         with pytest.raises(RequestError):
--- a/dahliashunt/forwarding/tests/test_replicas.py
+++ b/dahliashunt/forwarding/tests/test_replicas.py
@@ -1,4 +1,4 @@
-"""The list of replicas over outages, restarts and reused addresses."""
+"""Tests of the replica list in outages, restarts and address reuse."""
 
 import pytest
 
@@ -44,9 +44,7 @@
 
 
 def test_lapsed_entries_stay_for_a_while_after_an_outage(book):
-    # The list was away, all its entries lapsed unseen, and its first
-    # answer is empty. Believing it would refuse every request for two
-    # seconds although all replicas live.
+    # Guards against an empty list after an outage while replicas are alive.
     book.outage_ended(1_000)
     book.replace_all([], 1_000)
     assert names(book) == ["a", "b"]
@@ -56,18 +54,15 @@
 
 
 def test_a_new_replica_replaces_the_one_at_its_address(book):
-    # A machine lost power and came back with a new replica; requests for
-    # the one before were sent there and refused, again and again.
+    # Guards against requests for a replica whose address another one reuses.
     book.put(replica("c", 0), 2, 0)
     assert names(book) == ["b", "c"]
 
 
 @pytest.mark.parametrize("new", ["0-new", "z-new"])
 def test_the_latest_written_row_of_an_address_is_used(new):
-    # After a loss of power everywhere an entry reads a list with the dead
-    # replicas and the new ones, in order of their names. It took the last
-    # one for the new one, forgot the other, and half of all requests were
-    # refused for ten seconds: a live entry is not written again.
+    # Guards against choosing the last-read row instead of the latest-written
+    # one at an address, with the list ordered by id.
     book = ReplicaBook()
     listed = [(replica(new, 0), 9), (replica("m", 0), 3)]
     book.replace_all(sorted(listed, key=lambda one: one[0].replica_id), 0)
@@ -89,8 +84,7 @@
 
 
 def test_a_replica_warms_up_between_two_writes_of_the_list(book):
-    # The list is written anew only when more than its counter changes, so
-    # that a replica looked slow for as long as its row stood.
+    # Guards against a replica that stays cold until its row is rewritten.
     book.put(replica("a", 0, warm_in_ms=3_000), 2, 1_000)
     assert book.is_cold(book.get("a"), 3_999)
     assert not book.is_cold(book.get("a"), 4_000)
--- a/dahliashunt/forwarding/workspaces.py
+++ b/dahliashunt/forwarding/workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces of the configuration in force, by their keys."""
+"""Workspaces of a configuration and their keys."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,19 +11,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """Who may send requests, and how many.
+    """A workspace with its keys and limits.
 
     Attributes
     ----------
     workspace_id : WorkspaceId
     digests : tuple of bytes
-        Of its keys.
+        Digests of its keys.
     rank : int or None
-        Goes before the route's; 0 is the most urgent, None leaves it.
+        Overrides the route's rank unless None; 0 is the most urgent.
     rate : float
-        Requests a second over all entries; 0 is no limit.
+        Requests per second over all entries; 0 is no limit.
     burst : float
-        Requests beyond the rate that may come at once.
+        Requests beyond the rate that may arrive at once.
     """
 
     workspace_id: WorkspaceId
@@ -35,16 +35,16 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokenWorkspace:
-    """A workspace that can't be read.
+    """Workspace of the configuration that can't be decoded.
 
     Attributes
     ----------
     name : str
-        Empty where that can't be read either.
+        Empty if undecodable too.
     digests : tuple of bytes or None
-        Of its keys; None where these can't be read.
+        Digests of its keys; None if undecodable too.
     reason : str
-        Never holds a key.
+        Never contains a key.
     """
 
     name: str
@@ -55,8 +55,8 @@
 class Workspaces:
     """Workspaces by the digests of their keys.
 
-    A workspace that can't be read harms only itself: its keys are known as
-    long as they can be read, and are refused as not run instead of unknown.
+    Requests with a key of a workspace that can't be decoded are refused as
+    not run instead of unauthenticated.
 
     Parameters
     ----------
@@ -78,8 +78,8 @@
 
     Notes
     -----
-    A look-up is O(1) in the number of keys. Of two workspaces with one key
-    the first one by name has it, on every entry alike.
+    A look-up is O(1) in the number of keys. A key of several workspaces
+    belongs to the first by name, so that all entries agree.
     """
 
     def __init__(
@@ -98,10 +98,10 @@
                 self._by_digest[digest] = each
 
     def of_key(self, key: str) -> Workspace | BrokenWorkspace | None:
-        """Return whose key this is, or None."""
+        """Return the workspace of `key`, or None."""
         return self._by_digest.get(key_digest(key))
 
     @property
     def knows_all_keys(self) -> bool:
-        """Whether a key that is not here belongs to nobody."""
+        """Whether every workspace's keys could be decoded."""
         return all(each.digests is not None for each in self.broken)
