--- a/dahliashunt/forwarding/attempt.py
+++ b/dahliashunt/forwarding/attempt.py
@@ -46,7 +46,7 @@
         Updated during the attempt.
     sink : AnswerSink
     replica : Replica
-    has_elsewhere : coroutine function
+    reserve_elsewhere : coroutine function
         Reserves another replica and returns whether it succeeded; only
         then a silent replica is abandoned.
     """
@@ -57,7 +57,7 @@
         state: CallState,
         sink: AnswerSink,
         replica: Replica,
-        has_elsewhere,
+        reserve_elsewhere,
     ):
         self._forwarder = forwarder
         self._clock = forwarder.clock
@@ -65,7 +65,7 @@
         self._route = state.route
         self._sink = sink
         self._replica = replica
-        self._has_elsewhere = has_elsewhere
+        self._reserve_elsewhere = reserve_elsewhere
 
     async def run(self) -> AttemptEnd:
         """Send the call, relay the response and return how it ended."""
@@ -114,7 +114,7 @@
             return AttemptEnd.NOT_RUN
         self._state.ran += 1
         if head.status >= 500:
-            return await self._keep_failure(connection, mailbox, head)
+            return await self._hold_failure(connection, mailbox, head)
         is_good = 200 <= head.status < 300
         if self._state.started and not is_good:
             # A started stream may only be followed by more of its events.
@@ -159,7 +159,7 @@
             # This process may have been stalled: one more turn of the event
             # loop delivers bytes that have already arrived.
             events = await mailbox.take(1)
-        if not events and not await self._has_elsewhere():
+        if not events and not await self._reserve_elsewhere():
             # No other replica is available: keep waiting for this one.
             return await mailbox.take(max(1, left_ms - silence_ms))
         return events
@@ -187,7 +187,7 @@
                 await self._sink.send(b"".join(parts))
                 parts.clear()
 
-    async def _keep_failure(self, connection, mailbox, head):
+    async def _hold_failure(self, connection, mailbox, head):
         body = await self._read_body(connection, mailbox)
         if body is None:
             return AttemptEnd.LOST
--- a/dahliashunt/forwarding/events.py
+++ b/dahliashunt/forwarding/events.py
@@ -74,11 +74,11 @@
         events = []
         offset = 0
         while True:
-            end, size = _blank_line(data, offset)
+            end, size = _find_blank_line(data, offset)
             if end < 0:
                 break
             raw = data[offset : end + size]
-            events.append(Event(_number(raw), raw))
+            events.append(Event(_event_id(raw), raw))
             offset = end + size
         self.rest = data[offset:]
         if len(self.rest) > MAX_EVENT_BYTES:
@@ -86,17 +86,17 @@
         return events
 
 
-def _blank_line(data, offset):
-    plain = data.find(b"\n\n", offset)
+def _find_blank_line(data, offset):
+    lf_end = data.find(b"\n\n", offset)
     if b"\r" not in data:
-        return plain, 2
-    other = data.find(b"\r\n\r\n", offset)
-    if other >= 0 and (plain < 0 or other < plain):
-        return other, 4
-    return plain, 2
+        return lf_end, 2
+    crlf_end = data.find(b"\r\n\r\n", offset)
+    if crlf_end >= 0 and (lf_end < 0 or crlf_end < lf_end):
+        return crlf_end, 4
+    return lf_end, 2
 
 
-def _number(raw):
+def _event_id(raw):
     for line in raw.splitlines():
         if line.startswith(b"id:"):
             text = line[3:].strip()
--- a/dahliashunt/forwarding/explain.py
+++ b/dahliashunt/forwarding/explain.py
@@ -55,7 +55,11 @@
             return {**found, "route": None, "why": "no configuration is known"}
         matches = list(node.catalog.candidates(host, path))
         if not matches:
-            return {**found, "route": None, "why": self._why_none(host, path)}
+            return {
+                **found,
+                "route": None,
+                "why": self._no_match_reason(host, path),
+            }
         route, *others = matches
         found["why"] = (
             f"{route.prefix} is the longest prefix of the path at {host}"
@@ -86,7 +90,7 @@
             "ready": node.ready,
         }
 
-    def _why_none(self, host, path):
+    def _no_match_reason(self, host, path):
         if not path.startswith("/"):
             return f"{path} is no path: it must begin with a slash"
         if host.lower() in self._node.catalog.hosts():
--- a/dahliashunt/forwarding/explain_workspaces.py
+++ b/dahliashunt/forwarding/explain_workspaces.py
@@ -53,7 +53,11 @@
         found = self._workspaces()
         workspace = found.by_id.get(name) if found else None
         if workspace is None:
-            return {**self._version(), "workspace": None, "why": _why(found)}
+            return {
+                **self._version(),
+                "workspace": None,
+                "why": _unknown_reason(found),
+            }
         use = self._node.caps.view(workspace)
         return {
             **self._version(),
@@ -114,7 +118,7 @@
     return (-row["admitted"] - row["refused"], row["name"])
 
 
-def _why(found):
+def _unknown_reason(found):
     if found is None:
         return "callers need no keys by the version in force"
     return "the version in force has no such workspace"
--- a/dahliashunt/forwarding/forwarder.py
+++ b/dahliashunt/forwarding/forwarder.py
@@ -251,7 +251,7 @@
         raise error
 
     async def _attempt(self, replica):
-        async def has_elsewhere():
+        async def reserve_elsewhere():
             avoid = {*self._tried, replica.life}
             try:
                 self._next_place = await self._find(_NO_WAIT, avoid)
@@ -260,7 +260,11 @@
             return True
 
         attempt = Attempt(
-            self._forwarder, self._state, self._sink, replica, has_elsewhere
+            self._forwarder,
+            self._state,
+            self._sink,
+            replica,
+            reserve_elsewhere,
         )
         return await attempt.run()
 
--- a/dahliashunt/forwarding/tests/test_placing.py
+++ b/dahliashunt/forwarding/tests/test_placing.py
@@ -170,7 +170,7 @@
 
 
 @pytest.fixture
-def large(slots, clock):
+def large_places(slots, clock):
     """Return places for a service larger than the number of partners."""
     book = ReplicaBook()
     for name in REPLICA_IDS:
@@ -178,42 +178,46 @@
     return make_places(book, slots, clock)
 
 
-def test_a_full_large_service_is_asked_beyond_the_partners(large, slots):
+def test_a_full_large_service_is_asked_beyond_the_partners(
+    large_places, slots
+):
     # Guards against refusals while replicas beyond the partners are free.
     slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, Verdict.FULL)
     for _ in range(60):
         with pytest.raises(RequestError):
-            find(large)
+            find(large_places)
     assert len({host for host, _ in slots.asked}) > 3 * MOST_PARTNERS
     assert len(slots.asked) <= 60 * (MAX_ASKED + OUTSIDERS)
 
 
-def test_only_partners_are_asked_while_they_have_room(large, slots):
+def test_only_partners_are_asked_while_they_have_room(large_places, slots):
     slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, Verdict.GRANTED)
     for _ in range(200):
-        find(large).release()
+        find(large_places).release()
     assert len({host for host, _ in slots.asked}) <= MOST_PARTNERS
 
 
-def test_others_are_used_when_every_partner_was_tried(large, slots, clock):
+def test_others_are_used_when_every_partner_was_tried(
+    large_places, slots, clock
+):
     slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, Verdict.GRANTED)
     book = ReplicaBook()
     for name in REPLICA_IDS:
         book.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
     partners = Partners(book, "entry-1").of_service("s")
-    place = find(large, avoid=[replica.life for replica in partners])
+    place = find(large_places, avoid=[replica.life for replica in partners])
     assert place.replica not in partners
 
 
-def test_renewals_are_bounded_by_the_partners(large, slots):
+def test_renewals_are_bounded_by_the_partners(large_places, slots):
     renewed = []
     slots.renew = renewed.append
     slots.forget_but = lambda addresses: None
 
-    async def look():
-        loop = asyncio.create_task(large.keep_states(1))
+    async def renew_once():
+        loop = asyncio.create_task(large_places.keep_states(1))
         await asyncio.sleep(0)
         loop.cancel()
 
-    asyncio.run(look())
+    asyncio.run(renew_once())
     assert len(renewed[0]) == MOST_PARTNERS
