--- a/dahliashunt/forwarding/follower.py
+++ b/dahliashunt/forwarding/follower.py
@@ -1,4 +1,4 @@
-"""Follow one table: whole first, then change by change."""
+"""Follow a table: read it whole, then apply its changes."""
 
 import asyncio
 import random
@@ -12,29 +12,26 @@
 
 __all__ = ["TableFollower"]
 
-WAIT_MS = 1_000
-"""How long one call waits for a change. Short, since a connection that
-went silent is found only by the call's end: with it and the client's own
-margin a change is at most some 1.5 s late on such a connection."""
+LONG_POLL_MS = 1_000
+"""Time that a call waits for a change; bounds how late a dead connection
+is detected."""
 
 RETRY_MIN_MS = 50
 RETRY_MAX_MS = 400
-"""Bounds of the jittered backoff while the table does not answer. The
-upper one bounds how late its return is seen; 64 nodes make under 400
-calls a second with it, a fifth of the reads granted."""
+"""Bounds of the jittered exponential backoff while the table is
+unavailable."""
 
 
 class TableFollower:
-    """Runs until cancelled; hands rows to `listener`.
+    """Reads a table and its changes and passes the rows to `listener`.
 
     Parameters
     ----------
     feed : TableFeed
     prefixes : tuple of str
-        Each with table, part and perhaps the start of keys; all of one
-        table.
+        Table, partition and optionally the start of keys; all of one table.
     use : FeedUse
-        What the table is followed for; decides how changes are gathered.
+        Purpose of the feed; decides how changes are batched.
     listener : object
         Has ``replaced(rows)``, ``changed(row)``, ``removed(key)`` and
         ``outage_ended()``.
@@ -45,9 +42,9 @@
     Attributes
     ----------
     heard_ms : int or None
-        When the table last answered.
+        Time of the table's last response.
     known : asyncio.Event
-        Set once the table was read whole.
+        Set once the whole table has been read.
     """
 
     def __init__(
@@ -74,13 +71,13 @@
         self.known = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow the table until cancelled."""
         while True:
             try:
                 await self._step()
             except HistoryLost:
-                # Changes were missed: what is known stays in use until
-                # the whole table was read again.
+                # Changes were missed: the known rows stay in use until the
+                # whole table has been read again.
                 self._log.info("history_lost", table=self._table)
                 self._after = None
             except PlatformUnavailable as error:
@@ -90,8 +87,10 @@
         if self._after is None:
             await self._read_whole()
             return
-        found = await self._feed.changes(self._table, self._after, WAIT_MS)
-        self._heard()
+        found = await self._feed.changes(
+            self._table, self._after, LONG_POLL_MS
+        )
+        self._note_answer()
         self._apply(found)
         self._after = found.version
         gather_ms = pause_ms(self._use, bool(found.rows or found.removed))
@@ -105,10 +104,10 @@
             found = await self._feed.snapshot(prefix)
             rows += found.rows
             after = found.version if after is None else after
-        self._heard()
+        self._note_answer()
         self._listener.replaced(tuple(rows))
         self.known.set()
-        # What changed between the first page and the last comes again.
+        # Changes made while reading are delivered again.
         self._after = after
 
     def _apply(self, found):
@@ -119,7 +118,7 @@
             if key.startswith(self._prefixes):
                 self._listener.removed(key)
 
-    def _heard(self):
+    def _note_answer(self):
         self.heard_ms = self._clock.now_ms()
         if self._failures:
             self._log.info(
--- a/dahliashunt/forwarding/replica_selector.py
+++ b/dahliashunt/forwarding/replica_selector.py
@@ -1,4 +1,4 @@
-"""Find a replica with a slot for a request."""
+"""Select a replica with a free slot for a request."""
 
 import asyncio
 import random
@@ -12,6 +12,7 @@
 from dahliashunt.decisions.suspicion import Suspicion
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import RequestError
+from dahliashunt.forwarding.asking import SlotRequester
 from dahliashunt.forwarding.known_replicas import KnownReplicas
 from dahliashunt.forwarding.reservation import Reservation
 from dahliashunt.forwarding.reservation import SlotRequirements
@@ -20,32 +21,28 @@
 
 __all__ = ["ReplicaSelector"]
 
-MOST_ASKED = 6
-"""Agents asked in turn before a request waits at one: some milliseconds,
-and with six replicas in ten full the chance to miss room is 1 in 20."""
+MAX_ASKED = 6
+"""Partners' agents that are asked for a free slot before the request waits
+at one of them."""
 
 NO_REPLICA_RETRY_MS = 500
-"""Retry-After when a service has no replica: replicas come back, or new
-ones are listed, within a heartbeat or two of 1.2 s."""
+"""Retry-After for a service without replicas; shorter than a heartbeat,
+after which new replicas are listed."""
 
-DIRECT_SHARE = 4
-"""A replica whose agent is silent is sent to directly, with this part of
-its slots at the most: several entries do so at a time and none knows of
-the others. Up to all slots from each would fill the replicas' own queues
-for seconds after a start, when entries are up before agents."""
+DIRECT_SLOT_DIVISOR = 4
+"""Divisor of a replica's slots that one entry may use while the agent is
+silent, since entries don't know of each other's requests there."""
 
 PROBE_MS = 100
-"""Between probes of silent agents, and looks for new replicas: a third of
-an objective, after which an agent that has started is asked."""
+"""Interval between probes of silent agents and checks for new replicas."""
 
 NO_AGENTS_MS = 10_000
-"""After so long without a word from any agent of a service, it is taken to
-have none: its replicas are sent to directly, up to their slots. Agents are
-up some three seconds after the entries where all start at once."""
+"""Time without a message from any agent of a service after which it counts
+as having none; longer than agents need to start."""
 
 
-class ReplicaSelector:
-    """Chooses replicas and asks their agents.
+class Places:
+    """Selects replicas and requests slots from their agents.
 
     Parameters
     ----------
@@ -69,49 +66,46 @@
         self._suspicion = suspicion
         self._clock = clock
         self._rng = rng
-        self._asker = Asker(slots, known.agent)
+        self._slot_requester = SlotRequester(slots, known.agent)
         self._holds = HoldTimes()
         self._started_ms = clock.now_ms()
         self._renewed: set[tuple[str, int]] = set()
 
-    async def find(
-        self,
-        requirements: SlotRequirements,
-        request_id: str,
-        with_agents: bool,
-    ) -> Reservation:
-        """Return a place for `requirements`.
+    async def find(self, want: Want, request_id: str, keeps: bool) -> Place:
+        """Reserve a replica for `want`.
 
         Parameters
         ----------
         requirements : SlotRequirements
         request_id : str
-            The id under which the replica will list the request.
-        with_agents : bool
-            Whether the service's replicas have agents that keep slots.
+            Id under which the replica lists the request.
+        keeps : bool
+            Whether the service's replicas have agents.
 
         Raises
         ------
         RequestError
-            There is none; nothing ran because of this call.
+            No replica is free; nothing was run by this call.
         """
         replicas = self._untried(requirements)
         ordered = self._known.ordered(replicas, requirements.affinity)
         if not with_agents:
             return self._direct(ordered[0])
         if self._has_no_agents(replicas):
-            return self._direct_with_room(ordered, requirements)
-        chosen = self._with_outsiders(ordered, requirements)
-        asked = await self._asker.ask_in_turn(chosen, requirements, request_id)
+            return self._direct_within_slots(ordered, want)
+        chosen = self._with_outsiders(ordered, want)
+        replies = await self._slot_requester.request_slot(
+            chosen, want, request_id
+        )
         now_ms = self._clock.now_ms()
-        for replica in asked.away:
-            self._suspicion.failed(replica.incarnation, now_ms)
-        if asked.granted is not None:
-            return self._granted(asked.granted, asked.attempt)
-        return await self._ask_again(asked, requirements, request_id)
-
-    def _untried(self, requirements):
-        """Return the partners that were not tried, else any others."""
+        for replica in replies.absent:
+            self._suspicion.failed(replica.life, now_ms)
+        if replies.granted is not None:
+            return self._granted(replies.granted, replies.attempt)
+        return await self._fall_back(replies, want, request_id)
+
+    def _untried(self, want):
+        """Return the untried partners, or the other untried replicas."""
         for listed in (
             self._known.partners(requirements.service),
             self._known.listed(requirements.service),
@@ -129,19 +123,19 @@
             retry_after_ms=NO_REPLICA_RETRY_MS,
         )
 
-    def _with_outsiders(self, ordered, requirements):
-        """Return whom to ask: the best partners, then some others."""
-        listed = self._known.listed(requirements.service)
-        partners = self._known.partners(requirements.service)
+    def _with_outsiders(self, ordered, want):
+        """Return the best partners, followed by some other replicas."""
+        listed = self._known.listed(want.service)
+        partners = self._known.partners(want.service)
         if len(listed) <= len(partners):
-            return ordered[:MOST_ASKED]
+            return ordered[:MAX_ASKED]
         ids = {replica.replica_id for replica in partners}
         outsiders = [
             replica
             for replica in sample_non_partners(listed, ids, self._rng)
             if replica.incarnation not in requirements.avoid
         ]
-        return ordered[:MOST_ASKED] + outsiders
+        return ordered[:MAX_ASKED] + outsiders
 
     def _has_no_agents(self, replicas):
         waited_ms = self._clock.now_ms() - self._started_ms
@@ -149,16 +143,16 @@
             self._known.load(replica) for replica in replicas
         )
 
-    def _direct_with_room(self, ordered, requirements):
-        """Send to the first replica that this entry has not filled itself.
+    def _direct_within_slots(self, ordered, want):
+        """Reserve the first replica with fewer own requests than slots.
 
-        Batch leaves half of the slots: nobody can revoke it.
+        Batch items use half of the slots, since they can't be revoked.
         """
         for replica in ordered:
-            most = replica.slots
-            if requirements.use is Use.BATCH:
-                most = max(1, most // 2)
-            if self._known.own(replica) < most:
+            limit = replica.slots
+            if want.use is Use.BATCH:
+                limit = max(1, limit // 2)
+            if self._known.own(replica) < limit:
                 return self._direct(replica)
         raise RequestError(
             ErrorKind.OVERLOADED,
@@ -166,20 +160,20 @@
             retry_after_ms=self._retry_delay_ms(requirements.service, 0),
         )
 
-    async def _ask_again(self, asked, requirements, request_id):
-        """Send to a replica without agent, or wait at one with."""
-        full = asked.full
-        for replica in asked.unanswered:
-            most = max(1, replica.slots // DIRECT_SHARE)
-            if requirements.use is Use.BATCH:
-                # Nobody there could revoke it for an online request.
-                most = 0 if full else 1
-            if self._known.own(replica) < most:
+    async def _fall_back(self, replies, want, request_id):
+        """Reserve a replica whose agent is silent, or wait for a slot."""
+        full = replies.full
+        for replica in replies.unanswered:
+            limit = max(1, replica.slots // DIRECT_SLOT_DIVISOR)
+            if want.use is Use.BATCH:
+                # A batch item there could not be revoked.
+                limit = 0 if full else 1
+            if self._known.own(replica) < limit:
                 return self._direct(replica)
         full.sort(key=self._expected_wait_ms)
         if full and requirements.wait_ms > 0:
             replica = full[0]
-            attempt = self._asker.attempt(requirements, request_id)
+            attempt = self._slot_requester.attempt(want, request_id)
             verdict = await self._slots.ask(
                 attempt, self._known.agent(replica), requirements.wait_ms
             )
@@ -223,11 +217,11 @@
         return Reservation(replica, "", release)
 
     def hold_ms(self, service: str) -> int:
-        """Return how long online requests hold a slot, as learned here."""
+        """Return the mean time that online requests hold a slot here."""
         return self._holds.mean_ms(service)
 
-    async def refresh_states(self, every_ms: int) -> None:
-        """Renew holds and hear of loads, for ever."""
+    async def keep_states(self, every_ms: int) -> None:
+        """Renew slots and update loads until cancelled."""
         renewed_ms = -every_ms
         while True:
             now_ms = self._clock.now_ms()
@@ -238,7 +232,7 @@
             await asyncio.sleep(min(every_ms, PROBE_MS) / 1000)
 
     def _has_new_partners(self):
-        """Tell whether there is an agent that was never called."""
+        """Return whether a partner's agent was not yet contacted."""
         return not self._partner_agents() <= self._renewed
 
     def _partner_agents(self):
--- a/dahliashunt/forwarding/slot_requests.py
+++ b/dahliashunt/forwarding/slot_requests.py
@@ -1,4 +1,4 @@
-"""Ask agents for a slot, one soon after the other, until one grants it."""
+"""Request a slot from agents with hedged requests until one grants it."""
 
 import asyncio
 from dataclasses import dataclass
@@ -10,38 +10,35 @@
 from dahliashunt.decisions.slot_messages import SlotDecision
 from dahliashunt.forwarding.replicas import Replica
 
-__all__ = ["Asked", "Asker"]
+__all__ = ["SlotReplies", "SlotRequester"]
 
-STAGGER_MS = 12
-"""An agent that has not answered for so long is waited for beside the next
-one. Some ten round trips within a region: a live agent is hardly ever
-asked in vain, and four that are gone cost a request 50 ms of its objective
-instead of 300."""
+HEDGE_DELAY_MS = 12
+"""Wait for an agent's reply before the next agent is asked as well."""
 
 
 @dataclass(slots=True)
-class Asked:
-    """What the agents said.
+class SlotReplies:
+    """Replies of the agents that were asked for a slot.
 
     Attributes
     ----------
     granted : Replica or None
-        Holds a slot for `attempt`.
-    attempt : SlotAttempt or None
-    full, away, unanswered : list of Replica
-        Those that have no slot now, whose replica is absent, and that did
-        not answer.
+        Replica whose agent granted a slot to `attempt`.
+    attempt : Attempt or None
+    full, absent, unanswered : list of Replica
+        Replicas without a free slot, replicas that their agent reports as
+        absent, and replicas whose agent did not reply.
     """
 
     granted: Replica | None = None
     attempt: SlotAttempt | None = None
     full: list[Replica] = field(default_factory=list)
-    away: list[Replica] = field(default_factory=list)
+    absent: list[Replica] = field(default_factory=list)
     unanswered: list[Replica] = field(default_factory=list)
 
 
-class Asker:
-    """Asks the agents of one entry.
+class SlotRequester:
+    """Requests slots from agents on behalf of one entry.
 
     Parameters
     ----------
@@ -55,9 +52,9 @@
         self._agent_of = agent_of
         self._numbers = itertools.count(1)
 
-    def attempt(self, requirements, run_id: str) -> SlotAttempt:
-        """Return a new attempt at a slot for the request `run_id`."""
-        return SlotAttempt(
+    def attempt(self, want, run_id: str) -> Attempt:
+        """Return a new slot attempt for the request `run_id`."""
+        return Attempt(
             attempt_id=f"{run_id}#{next(self._numbers)}",
             run_id=run_id,
             use=requirements.use,
@@ -66,53 +63,53 @@
             on_revoke=requirements.on_revoke,
         )
 
-    async def ask_in_turn(self, replicas, requirements, run_id: str) -> Asked:
-        """Ask the agents of `replicas` for a slot that is free now.
+    async def request_slot(self, replicas, want, run_id: str) -> SlotReplies:
+        """Request a slot that is free now from the agents of `replicas`.
 
-        The first that grants one is taken. What others grant meanwhile is
-        given back, since each was asked for an attempt of its own.
+        The first grant is used. Slots that other agents grant are released;
+        each agent is asked with an attempt id of its own.
         """
-        asked = Asked()
+        replies = SlotReplies()
         pending = {}
         try:
             for replica in replicas:
                 if self._slots.is_silent(self._agent_of(replica)):
-                    asked.unanswered.append(replica)
+                    replies.unanswered.append(replica)
                     continue
                 attempt = self.attempt(requirements, run_id)
                 task = asyncio.create_task(self._ask(replica, attempt))
                 pending[task] = (replica, attempt)
-                await self._collect(pending, asked, STAGGER_MS / 1000)
-                if asked.granted is not None:
-                    return asked
-            while pending and asked.granted is None:
-                await self._collect(pending, asked, None)
-            return asked
+                await self._collect(pending, replies, HEDGE_DELAY_MS / 1000)
+                if replies.granted is not None:
+                    return replies
+            while pending and replies.granted is None:
+                await self._collect(pending, replies, None)
+            return replies
         finally:
             self._give_back(pending)
 
     async def _ask(self, replica, attempt):
         return await self._slots.ask(attempt, self._agent_of(replica), 0)
 
-    async def _collect(self, pending, asked, limit_s):
-        """Wait for an answer, up to `limit_s`; note what has come."""
+    async def _collect(self, pending, replies, limit_s):
+        """Wait up to `limit_s` for replies and record them."""
         done, _ = await asyncio.wait(
             pending, timeout=limit_s, return_when=asyncio.FIRST_COMPLETED
         )
         for task in done:
             verdict = task.result()
-            if verdict is SlotDecision.GRANTED and asked.granted is not None:
-                # Two at the same moment: the second is given back.
+            if verdict is Verdict.GRANTED and replies.granted is not None:
+                # A second grant stays in `pending` and is released.
                 continue
             replica, attempt = pending.pop(task)
-            if verdict is SlotDecision.GRANTED:
-                asked.granted, asked.attempt = replica, attempt
-            elif verdict is SlotDecision.FULL:
-                asked.full.append(replica)
-            elif verdict is SlotDecision.AWAY:
-                asked.away.append(replica)
+            if verdict is Verdict.GRANTED:
+                replies.granted, replies.attempt = replica, attempt
+            elif verdict is Verdict.FULL:
+                replies.full.append(replica)
+            elif verdict is Verdict.AWAY:
+                replies.absent.append(replica)
             else:
-                asked.unanswered.append(replica)
+                replies.unanswered.append(replica)
 
     def _give_back(self, pending):
         for task, (_, attempt) in pending.items():
--- a/dahliashunt/forwarding/tests/test_replica_selector.py
+++ b/dahliashunt/forwarding/tests/test_replica_selector.py
@@ -1,4 +1,4 @@
-"""Where requests go when agents are silent, late or not there at all."""
+"""Tests of replica selection with silent, slow and missing agents."""
 
 import asyncio
 import random
@@ -15,10 +15,11 @@
 from dahliashunt.errors import RequestError
 from dahliashunt.forwarding.known_replicas import KnownReplicas
 from dahliashunt.forwarding.partners import Partners
-from dahliashunt.forwarding.replica_selector import DIRECT_SHARE
-from dahliashunt.forwarding.replica_selector import MOST_ASKED
-from dahliashunt.forwarding.replica_selector import NO_AGENTS_MS
-from dahliashunt.forwarding.replica_selector import ReplicaSelector
+from dahliashunt.forwarding.place import Want
+from dahliashunt.forwarding.placing import DIRECT_SLOT_DIVISOR
+from dahliashunt.forwarding.placing import MAX_ASKED
+from dahliashunt.forwarding.placing import NO_AGENTS_MS
+from dahliashunt.forwarding.placing import Places
 from dahliashunt.forwarding.replicas import Replica
 from dahliashunt.forwarding.replicas import ReplicaRegistry
 from dahliashunt.forwarding.reservation import SlotRequirements
@@ -27,12 +28,12 @@
 
 
 class FakeSlots:
-    """Agents by their verdicts; a missing one never answers.
+    """Slot client with preset verdicts; None for hosts without one.
 
     Attributes
     ----------
     hanging : set of str
-        Hosts whose agents keep an ask waiting for as long as the test.
+        Hosts whose agents never reply.
     """
 
     def __init__(self):
@@ -93,33 +94,32 @@
     return asyncio.run(places.find(requirements, "r", with_agents))
 
 
-def count(places, **how):
-    """Return how many places are given before a refusal."""
+def count_places(places, **options):
+    """Return the number of places given before a refusal."""
     given = 0
     while True:
         try:
-            find(places, **how)
+            find(places, **options)
         except RequestError as error:
             assert error.kind is ErrorKind.OVERLOADED
             return given
         given += 1
 
 
-def test_entries_that_are_up_before_the_agents_send_little(places):
-    # Everything was restarted; entries are up first. Each would fill the
-    # replicas on its own, and requests wait in the replicas' queues.
-    assert count(places) == 2 * SLOTS // DIRECT_SHARE
+def test_direct_requests_are_limited_before_agents_start(places):
+    # Guards against entries that fill the replicas' queues after a restart.
+    assert count_places(places) == 2 * SLOTS // DIRECT_SLOT_DIVISOR
 
 
 def test_a_service_without_agents_is_used_whole(places, clock, slots):
     asyncio.run(clock.advance(NO_AGENTS_MS + 1))
-    assert count(places) == 2 * SLOTS
+    assert count_places(places) == 2 * SLOTS
     assert slots.asked == []
 
 
 def test_batch_without_agents_leaves_room(places, clock):
     asyncio.run(clock.advance(NO_AGENTS_MS + 1))
-    assert count(places, use=Use.BATCH) == SLOTS
+    assert count_places(places, use=Use.BATCH) == SLOTS
 
 
 def test_a_full_fleet_is_waited_for_once_and_only_in_time(places, slots):
@@ -141,33 +141,27 @@
     assert slots.released == [reservation.attempt_id]
 
 
-def test_batch_goes_nowhere_directly_beside_a_full_keeper(places, slots):
-    slots.verdict_by_host = {"a": SlotDecision.FULL}
+def test_batch_is_not_sent_directly_while_an_agent_is_full(places, slots):
+    slots.verdict_by_host = {"a": Verdict.FULL}
     with pytest.raises(RequestError):
         find(places, use=Use.BATCH)
 
 
-def test_agents_that_are_gone_do_not_use_up_the_objective(places, slots):
-    # A restorer's request meets a fleet of which some machines lost power
-    # a moment ago. It was asked at one after the other, 75 ms each, and
-    # reached a live replica when its 300 ms were over.
+def test_unresponsive_agents_do_not_use_up_the_objective(places, slots):
+    # Guards against sequential timeouts at the agents of crashed hosts.
     slots.hanging = {"a"}
     slots.verdict_by_host = {"b": SlotDecision.GRANTED}
     for _ in range(4):
-        reservation = find(places)
-        assert reservation.replica.replica_id == "b"
-    # What the agent that is gone might grant later is given back.
+        place = find(places)
+        assert place.replica.replica_id == "b"
+    # A slot that a hanging agent may grant later is released.
     asked_a = sum(host == "a" for host, _ in slots.asked)
     assert len(slots.released) == asked_a
 
 
 def test_only_one_of_two_grants_is_kept(places, slots):
-    # Both answer while the entry was busy: a slot that nobody gives back
-    # would stand idle until the agent misses its renewals.
-    slots.verdict_by_host = {
-        "a": SlotDecision.GRANTED,
-        "b": SlotDecision.GRANTED,
-    }
+    # Guards against a leaked slot when two agents grant at the same time.
+    slots.verdict_by_host = {"a": Verdict.GRANTED, "b": Verdict.GRANTED}
     places_found = [find(places) for _ in range(10)]
     assert len(slots.asked) == len(places_found) + len(slots.released)
 
@@ -178,57 +172,58 @@
     assert slots.asked == []
 
 
-MANY = [f"r{n}" for n in range(5 * MAX_PARTNERS)]
+REPLICA_IDS = [f"r{n}" for n in range(5 * MOST_PARTNERS)]
 
 
 @pytest.fixture
-def large(slots, clock):
-    """Places of an entry before five times as many replicas."""
-    registry = ReplicaRegistry()
-    for name in MANY:
-        registry.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
-    return make_places(registry, slots, clock)
-
-
-def test_a_full_large_service_is_asked_beyond_the_partners(large, slots):
-    # All partners of one entry are full while others idle: its callers
-    # would be refused beside free replicas.
-    slots.verdict_by_host = dict.fromkeys(MANY, SlotDecision.FULL)
+def large_places(slots, clock):
+    """Return places for a service larger than the number of partners."""
+    book = ReplicaBook()
+    for name in REPLICA_IDS:
+        book.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
+    return make_places(book, slots, clock)
+
+
+def test_a_full_large_service_is_asked_beyond_the_partners(
+    large_places, slots
+):
+    # Guards against refusals while replicas beyond the partners are free.
+    slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, Verdict.FULL)
     for _ in range(60):
         with pytest.raises(RequestError):
-            find(large)
-    assert len({host for host, _ in slots.asked}) > 3 * MAX_PARTNERS
-    assert len(slots.asked) <= 60 * (MOST_ASKED + NON_PARTNER_SAMPLES)
+            find(large_places)
+    assert len({host for host, _ in slots.asked}) > 3 * MOST_PARTNERS
+    assert len(slots.asked) <= 60 * (MAX_ASKED + OUTSIDERS)
 
 
-def test_only_partners_are_asked_while_they_have_room(large, slots):
-    slots.verdict_by_host = dict.fromkeys(MANY, SlotDecision.GRANTED)
+def test_only_partners_are_asked_while_they_have_room(large_places, slots):
+    slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, Verdict.GRANTED)
     for _ in range(200):
-        find(large).release()
-    assert len({host for host, _ in slots.asked}) <= MAX_PARTNERS
+        find(large_places).release()
+    assert len({host for host, _ in slots.asked}) <= MOST_PARTNERS
 
 
-def test_others_are_used_when_every_partner_was_tried(large, slots, clock):
-    slots.verdict_by_host = dict.fromkeys(MANY, SlotDecision.GRANTED)
-    registry = ReplicaRegistry()
-    for name in MANY:
-        registry.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
-    partners = Partners(registry, "entry-1").of_service("s")
-    reservation = find(
-        large, avoid=[replica.incarnation for replica in partners]
-    )
-    assert reservation.replica not in partners
+def test_others_are_used_when_every_partner_was_tried(
+    large_places, slots, clock
+):
+    slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, Verdict.GRANTED)
+    book = ReplicaBook()
+    for name in REPLICA_IDS:
+        book.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
+    partners = Partners(book, "entry-1").of_service("s")
+    place = find(large_places, avoid=[replica.life for replica in partners])
+    assert place.replica not in partners
 
 
-def test_renewals_are_bounded_by_the_partners(large, slots):
+def test_renewals_are_bounded_by_the_partners(large_places, slots):
     renewed = []
     slots.renew = renewed.append
     slots.forget_but = lambda addresses: None
 
-    async def look():
-        loop = asyncio.create_task(large.refresh_states(1))
+    async def renew_once():
+        loop = asyncio.create_task(large_places.keep_states(1))
         await asyncio.sleep(0)
         loop.cancel()
 
-    asyncio.run(look())
-    assert len(renewed[0]) == MAX_PARTNERS
+    asyncio.run(renew_once())
+    assert len(renewed[0]) == MOST_PARTNERS
