--- a/dahliashunt/forwarding/follower.py
+++ b/dahliashunt/forwarding/follower.py
@@ -122,7 +122,7 @@
         self.heard_ms = self._clock.now_ms()
         if self._failures:
             self._log.info(
-                "table_regained", table=self._table, failures=self._failures
+                "table_recovered", table=self._table, failures=self._failures
             )
             self._failures = 0
             self._listener.outage_ended()
@@ -130,7 +130,7 @@
     async def _back_off(self, error):
         if self._failures == 0:
             self._log.warning(
-                "table_lost", table=self._table, reason=str(error)
+                "table_unavailable", table=self._table, reason=str(error)
             )
         self._failures += 1
         most_ms = min(RETRY_MAX_MS, RETRY_MIN_MS * 2**self._failures)
--- a/dahliashunt/forwarding/losses.py
+++ b/dahliashunt/forwarding/losses.py
@@ -115,7 +115,7 @@
             ) as error:
                 # The local count stays and is written with the next loss.
                 self._log.warning(
-                    "loss_not_shared", digest=digest, reason=str(error)
+                    "loss_write_failed", digest=digest, reason=str(error)
                 )
 
     async def _write(self, digest):
--- a/dahliashunt/jobs/beats.py
+++ b/dahliashunt/jobs/beats.py
@@ -84,7 +84,7 @@
             TransactionConflict,
             WriteOutcomeUnknown,
         ) as error:
-            self._log.warning("beat_failed", reason=str(error))
+            self._log.warning("heartbeat_failed", reason=str(error))
             self._version = None
             return False
         return True
@@ -121,7 +121,7 @@
                 "beats//", "beats//~", MOST_ROWS
             )
         except PlatformUnavailable as error:
-            self._log.warning("beats_unread", reason=str(error))
+            self._log.warning("heartbeat_read_failed", reason=str(error))
             self._regained = True
             return
         now_ms = self._clock.now_ms()
--- a/dahliashunt/jobs/expiry.py
+++ b/dahliashunt/jobs/expiry.py
@@ -87,7 +87,7 @@
             ) as error:
                 # The job's own row goes last, so that it is found again.
                 self._log.warning(
-                    "job_not_removed", job_id=job.job_id, reason=str(error)
+                    "job_removal_failed", job_id=job.job_id, reason=str(error)
                 )
                 return
             self._log.info("job_removed", job_id=job.job_id)
--- a/dahliashunt/jobs/job_run.py
+++ b/dahliashunt/jobs/job_run.py
@@ -164,7 +164,7 @@
                 payload = await self._worker.ledger.payload(self.job)
             except RequestError as error:
                 self._worker.log.warning(
-                    "payload_unread",
+                    "payload_read_failed",
                     job_id=self.job.job_id,
                     reason=error.message,
                 )
@@ -193,7 +193,7 @@
         try:
             await worker.ledger.list_results(self.job, batch)
         except OwnershipLost:
-            worker.log.warning("job_lost", job_id=self.job.job_id)
+            worker.log.warning("job_ownership_lost", job_id=self.job.job_id)
             worker.retire(self.job.job_id)
             return
         except PlatformUnavailable as error:
--- a/dahliashunt/jobs/partials.py
+++ b/dahliashunt/jobs/partials.py
@@ -84,7 +84,7 @@
                 await self._table.transact(writes)
             except (PlatformUnavailable, WriteOutcomeUnknown) as error:
                 self._log.warning(
-                    "partials_unsaved", items=len(group), reason=str(error)
+                    "partial_save_failed", items=len(group), reason=str(error)
                 )
                 return saved
             saved += [partial for partial, _ in group]
@@ -101,7 +101,7 @@
             rows = await self._table.read_range(start, end, MOST_ITEMS)
         except PlatformUnavailable as error:
             self._log.warning(
-                "partials_unread", job_id=job_id, reason=str(error)
+                "partial_read_failed", job_id=job_id, reason=str(error)
             )
             return {}
         found = [self._decoded(job_id, row) for row in rows]
--- a/dahliashunt/jobs/takeover.py
+++ b/dahliashunt/jobs/takeover.py
@@ -59,7 +59,7 @@
         for _ in range(LEAVE_TRIES):
             # A renewal that was on its way may have been ahead.
             told = told or await self._writer.leave()
-        self._log.info("jobs_left", told=told)
+        self._log.info("ownership_released", told=told)
 
     async def renew(self) -> None:
         """Renew this node's row while it owns jobs, for ever.
--- a/dahliashunt/jobs/worker.py
+++ b/dahliashunt/jobs/worker.py
@@ -177,7 +177,9 @@
     def _handed_in(self, task):
         self._hand_ins.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.log.error("hand_in_failed", reason=repr(task.exception()))
+            self.log.error(
+                "results_flush_failed", reason=repr(task.exception())
+            )
 
     async def _hand_in(self, job, finished):
         held = sum(len(each.text) for each in finished)
@@ -188,7 +190,7 @@
         finally:
             self.held_characters -= held
         self.log.info(
-            "results_handed_in",
+            "results_flushed",
             job_id=job.job_id,
             held=count,
             left=len(finished),
--- a/dahliashunt/platform/ingress.py
+++ b/dahliashunt/platform/ingress.py
@@ -198,7 +198,9 @@
             # Returning with the answer unfinished makes the server close
             # the connection without its end mark.
             self._node.log.warning(
-                "answer_cut", request_id=call.request_id, reason=cut.message
+                "response_truncated",
+                request_id=call.request_id,
+                reason=cut.message,
             )
 
     async def _refuse(self, exchange, error):
--- a/dahliashunt/platform/reload.py
+++ b/dahliashunt/platform/reload.py
@@ -66,7 +66,7 @@
         try:
             status = os.stat(self._path)
         except OSError as error:
-            self._log.warning("settings_unread", reason=str(error))
+            self._log.warning("settings_unreadable", reason=str(error))
             return None
         return (status.st_mtime_ns, status.st_size, status.st_ino)
 
--- a/dahliashunt/platform/serve_agent.py
+++ b/dahliashunt/platform/serve_agent.py
@@ -150,7 +150,7 @@
             try:
                 listed = await self._store.snapshot(REPLICAS_PREFIX)
             except PlatformUnavailable as error:
-                self._log.warning("table_lost", reason=str(error))
+                self._log.warning("table_unavailable", reason=str(error))
                 listed = None
             for row in listed.rows if listed else ():
                 replica = self._decoded(row)
--- a/dahliashunt/platform/serve_entry.py
+++ b/dahliashunt/platform/serve_entry.py
@@ -335,7 +335,7 @@
             async with asyncio.timeout(left_ms / 1000):
                 await callers.stop()
         except TimeoutError:
-            self._log.warning("leaving_late", in_progress=self.node.busy)
+            self._log.warning("drain_timed_out", in_progress=self.node.busy)
 
     async def stop(self):
         """Close everything at once."""
