--- a/dahliashunt/adapters/slots/server.py
+++ b/dahliashunt/adapters/slots/server.py
@@ -1,4 +1,4 @@
-"""An agent's side: ask the keeper's decisions and send them."""
+"""An agent's side: ask the allocator's decisions and send them."""
 
 from dahliashunt.adapters.slots.datagrams import open_datagrams
 from dahliashunt.adapters.slots.use import decode_report
--- a/dahliashunt/decisions/agent.py
+++ b/dahliashunt/decisions/agent.py
@@ -77,7 +77,7 @@
         self.model = StepModel()
         tail = TailBound(policy, self.model)
         self._gate = GATES.get(policy.gate)(policy, self.model, tail)
-        self._drain = Drain(rng, policy.max_retry_after_ms)
+        self._wait_estimator = WaitEstimator(rng, policy.max_retry_after_ms)
         self._running = RunningStreams(policy, self.model, tail)
         self._decider = Decider(
             policy, self.model, self._gate, self._running, self._wait_estimator
@@ -87,7 +87,7 @@
         self._leaving = False
         self._item_tokens = _ITEM_PRIOR_TOKENS
 
-    def offer(self, now: int, work: Work) -> list[Decision]:
+    def offer(self, now: int, work: AttemptRequest) -> list[Decision]:
         """Add an attempt, which starts, is refused, or waits.
 
         A known attempt is ignored: a link that reconnects sends its
@@ -97,7 +97,7 @@
             return []
         if self._leaving:
             kind = ErrorKind.LEAVING
-            return [TurnAway(work.attempt_id, kind, _LEAVING_RETRY_MS)]
+            return [RefuseAttempt(work.attempt_id, kind, _LEAVING_RETRY_MS)]
         stream = Stream(work, generated_tokens=work.done_tokens)
         stream.prefill = work.prompt_tokens
         self._by_id[work.attempt_id] = stream
@@ -161,7 +161,7 @@
         stream.stopping = None
         stream.how = how
         stream.generated_tokens = (
-            0 if how is PreemptHow.RESTART else done_tokens
+            0 if how is PreemptMode.RESTART else done_tokens
         )
         stream.tokens_since_start = 0
         stream.preemptions += 1
--- a/dahliashunt/decisions/agent_decider.py
+++ b/dahliashunt/decisions/agent_decider.py
@@ -17,7 +17,6 @@
 
 from dahliashunt.decisions.agent_policy import AgentPolicy
 from dahliashunt.decisions.agent_waiting import WaitingStreams
-from dahliashunt.decisions.drain import Drain
 from dahliashunt.decisions.events import Preempt
 from dahliashunt.decisions.events import RefuseAttempt
 from dahliashunt.decisions.events import Start
@@ -34,7 +33,7 @@
 
 __all__ = ["Decider", "Decision"]
 
-Decision = Start | TurnAway | Preempt
+Decision = Start | RefuseAttempt | Preempt
 """Decision that the agent process carries out."""
 
 
@@ -49,7 +48,7 @@
         Streams in the engine.
     waiting : WaitingStreams
         Streams that wait to be started.
-    drain : Drain
+    wait_estimator : WaitEstimator
         Estimate of queue waits and Retry-After.
     by_id : dict of AttemptId to Stream
         All streams, waiting and running.
@@ -61,13 +60,13 @@
         model: StepModel,
         gate: IdleCapacity,
         running: RunningStreams,
-        drain: Drain,
+        wait_estimator: WaitEstimator,
     ):
         self._policy = policy
         self._model = model
         self.gate = gate
         self.running = running
-        self.drain = drain
+        self.wait_estimator = wait_estimator
         self.waiting = WaitingStreams()
         self.by_id: dict[AttemptId, Stream] = {}
 
@@ -137,7 +136,7 @@
                 break
             index += 1
 
-    def _refuse_long(self, now: int) -> list[TurnAway]:
+    def _refuse_long(self, now: int) -> list[RefuseAttempt]:
         """Refuse long prompts beyond half of the batch queue.
 
         Beside steady online work they may never fit, and a queue full of
@@ -190,7 +189,9 @@
         gap, initial_wait = self._drain_ms()
         kept: deque[Stream] = deque()
         for stream in self.waiting.online:
-            wait = self.drain.wait_ms(len(kept) + 1, gap, stream.admitted)
+            wait = self.wait_estimator.wait_ms(
+                len(kept) + 1, gap, stream.admitted
+            )
             full = len(kept) >= self._policy.max_waiting_online
             if (
                 now + initial_wait + wait <= stream.work.start_by_ms
@@ -199,7 +200,9 @@
                 stream.admitted = True
                 kept.append(stream)
                 continue
-            retry_after_ms = self.drain.retry_after_ms(now, len(kept), gap)
+            retry_after_ms = self.wait_estimator.retry_after_ms(
+                now, len(kept), gap
+            )
             decisions.append(
                 self.refuse(stream, ErrorKind.OVERLOADED, retry_after_ms)
             )
@@ -209,7 +212,7 @@
         """Return the interval between stream ends, and the wait before it."""
         occupancy = self.running.occupancy
         step = self._model.predict(occupancy.online, occupancy.kv_online)
-        gap = self.drain.gap_ms(occupancy.online, step)
+        gap = self.wait_estimator.gap_ms(occupancy.online, step)
         if not self.alone_blocks_others():
             return gap, 0.0
         alone = self.running.alone
@@ -217,7 +220,7 @@
             return gap, step
         # The running streams end, then the exclusive one runs to its end.
         runs_before = 1 if alone is not None else 1 + (occupancy.online > 0)
-        return gap, runs_before * self.drain.gap_ms(1, step)
+        return gap, runs_before * self.wait_estimator.gap_ms(1, step)
 
     def _expire(self, now: int) -> list[Decision]:
         expired = self.waiting.expired(now)
@@ -228,14 +231,14 @@
             self.refuse(
                 stream,
                 ErrorKind.OVERLOADED,
-                self.drain.retry_after_ms(now, 0, gap + initial_wait),
+                self.wait_estimator.retry_after_ms(now, 0, gap + initial_wait),
             )
             for stream in expired
         ]
 
     def refuse(
         self, stream: Stream, kind: ErrorKind, after_ms: int
-    ) -> TurnAway:
+    ) -> RefuseAttempt:
         """Remove a waiting stream and return its refusal."""
         del self.by_id[stream.work.attempt_id]
         # A preempted stream has run, so it can't be reported as not run.
--- a/dahliashunt/decisions/attempt_ends.py
+++ b/dahliashunt/decisions/attempt_ends.py
@@ -6,8 +6,8 @@
 from dahliashunt.decisions.endpoint import EndpointState
 from dahliashunt.decisions.entry_state import EntryState
 from dahliashunt.decisions.events import AttemptEnd
-from dahliashunt.decisions.events import GiveUp
-from dahliashunt.decisions.events import Loss
+from dahliashunt.decisions.events import FailRequest
+from dahliashunt.decisions.events import LossReason
 from dahliashunt.decisions.tracked import TrackedRequest
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import Ran
@@ -185,7 +185,7 @@
         # such losses make a suspect.
         endpoint = tracked.endpoint
         fingerprint = tracked.request.fingerprint
-        leaving = endpoint.loss is Loss.LEAVING
+        leaving = endpoint.loss is LossReason.LEAVING
         if leaving or fingerprint in endpoint.crash_counted:
             return []
         endpoint.crash_counted.add(fingerprint)
--- a/dahliashunt/decisions/batch_order.py
+++ b/dahliashunt/decisions/batch_order.py
@@ -166,7 +166,7 @@
         self._queues_by_model: dict[ModelId, ModelQueue] = {}
         self._model_by_job: dict[JobId, ModelId] = {}
 
-    def job(self, now: int, job: JobShape) -> None:
+    def job(self, now: int, job: JobDemand) -> None:
         """Add a job, or update its remaining items."""
         known = self._model_by_job.get(job.job_id)
         if known is not None and known != job.model:
@@ -182,7 +182,7 @@
             self._queues_by_model[job.model] = queue
         queue.put(job)
 
-    def job_gone(self, job_id: JobId) -> None:
+    def remove_job(self, job_id: JobId) -> None:
         """Remove a job that ended or was cancelled."""
         model = self._model_by_job.pop(job_id, None)
         if model is not None:
@@ -231,12 +231,12 @@
         self._left_by_id: dict[JobId, int] = {}
         self._model_by_id: dict[JobId, ModelId] = {}
 
-    def job(self, now: int, job: JobShape) -> None:
+    def job(self, now: int, job: JobDemand) -> None:
         """Add a job, or update its remaining items."""
         self._left_by_id[job.job_id] = job.items_left
         self._model_by_id[job.job_id] = job.model
 
-    def job_gone(self, job_id: JobId) -> None:
+    def remove_job(self, job_id: JobId) -> None:
         """Remove a job that ended or was cancelled."""
         self._left_by_id.pop(job_id, None)
         self._model_by_id.pop(job_id, None)
--- a/dahliashunt/decisions/batch_placement.py
+++ b/dahliashunt/decisions/batch_placement.py
@@ -29,7 +29,7 @@
         return self.room - self.sent
 
 
-class BatchPlaces:
+class BatchPlacement:
     """Free room for batch items by endpoint.
 
     Examples
--- a/dahliashunt/decisions/batch_queue.py
+++ b/dahliashunt/decisions/batch_queue.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobShape:
+class JobDemand:
     """Remaining demand of a job.
 
     Attributes
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class _Job:
-    demand: JobShape
+    demand: JobDemand
     left: int
     version: int
     served: float = 0.0
@@ -102,7 +102,7 @@
     def __bool__(self) -> bool:
         return bool(self._jobs_by_id)
 
-    def put(self, demand: JobShape) -> None:
+    def put(self, demand: JobDemand) -> None:
         """Add a job, or update its remaining items."""
         known = self._jobs_by_id.get(demand.job_id)
         if (
--- a/dahliashunt/decisions/caller_wait.py
+++ b/dahliashunt/decisions/caller_wait.py
@@ -20,7 +20,7 @@
 late. Until `MIN_CALLERS` have come it is the route's limit.
 
 Requests that can't be in time any more wait behind those that can; see
-`slot_keeper`.
+`slot_allocator`.
 
 Complexity: linear in `WINDOW_CALLERS`.
 """
--- a/dahliashunt/decisions/dispatcher.py
+++ b/dahliashunt/decisions/dispatcher.py
@@ -99,7 +99,9 @@
         queue.push(tracked.waiting)
         return out
 
-    def refuse_overloaded(self, now: int, tracked: TrackedRequest) -> GiveUp:
+    def refuse_overloaded(
+        self, now: int, tracked: TrackedRequest
+    ) -> FailRequest:
         """Refuse for overload, with a Retry-After."""
         state = self._state.model(tracked.request.model)
         excess = 0.0
@@ -114,7 +116,7 @@
 
     def refuse(
         self, tracked: TrackedRequest, kind: ErrorKind, after_ms: int | None
-    ) -> GiveUp:
+    ) -> FailRequest:
         """Forget the request and return its refusal."""
         self.drop(tracked)
         self._state.refused_by_kind[kind] += 1
--- a/dahliashunt/decisions/endpoint.py
+++ b/dahliashunt/decisions/endpoint.py
@@ -71,7 +71,7 @@
     ms_per_token: float = 0.0
     pending_tokens: float = 0.0
     gone_ms: int = 0
-    loss: Loss | None = None
+    loss: LossReason | None = None
     crash_counted: set[Fingerprint] = field(default_factory=set)
 
     @property
--- a/dahliashunt/decisions/entry.py
+++ b/dahliashunt/decisions/entry.py
@@ -311,8 +311,8 @@
 
     def _refuse(
         self, request: OnlineRequest, kind: ErrorKind, after_ms: int | None
-    ) -> GiveUp:
+    ) -> FailRequest:
         self._state.refused_by_kind[kind] += 1
-        return GiveUp(
+        return FailRequest(
             request.request_id, kind, Ran.NO, after_ms, MESSAGE_BY_KIND[kind]
         )
--- a/dahliashunt/decisions/events.py
+++ b/dahliashunt/decisions/events.py
@@ -54,7 +54,7 @@
     CRASHED = "crashed"
 
 
-class Loss(enum.Enum):
+class LossReason(enum.Enum):
     """Reason why an endpoint is unavailable."""
 
     CRASHED = "crashed"
@@ -62,7 +62,7 @@
     LEAVING = "leaving"
 
 
-class PreemptHow(enum.Enum):
+class PreemptMode(enum.Enum):
     """Way in which a batch stream is preempted."""
 
     RESUME = "resume"
@@ -158,7 +158,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
+class FailRequest:
     """Answer the request with a final error now.
 
     `ran` says whether it may have run; `retry_after_ms` is None if a retry
@@ -173,7 +173,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class AttemptRequest:
     """An attempt that an agent is asked to run."""
 
     attempt_id: AttemptId
@@ -197,7 +197,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnAway:
+class RefuseAttempt:
     """Refuse the attempt now.
 
     `ran` is ``NO`` except for a preempted batch stream, which had started.
--- a/dahliashunt/decisions/fleet.py
+++ b/dahliashunt/decisions/fleet.py
@@ -83,7 +83,7 @@
         return endpoint
 
     def mark_gone(
-        self, now: int, endpoint_id: EndpointId, loss: Loss
+        self, now: int, endpoint_id: EndpointId, loss: LossReason
     ) -> Endpoint | None:
         """Stop dispatching to an endpoint."""
         endpoint = self.by_id.get(endpoint_id)
@@ -118,7 +118,7 @@
             return False
         reported_at = now - report.age_ms
         if endpoint.state is EndpointState.GONE:
-            restorable = endpoint.loss is Loss.CRASHED and report.models
+            restorable = endpoint.loss is LossReason.CRASHED and report.models
             if not restorable or reported_at <= endpoint.gone_ms:
                 return False
             info = EndpointInfo(
--- a/dahliashunt/decisions/gate.py
+++ b/dahliashunt/decisions/gate.py
@@ -213,7 +213,7 @@
             return
         if not self._stall_fits(stream, occupancy):
             self._stall_charged_ms = now
-            self.tail.exceeds()
+            self.tail.spend_credit()
 
     def short_prompt_tokens(self) -> float:
         """Return the longest prompt within `AgentPolicy.prefill_stall_ms`."""
--- a/dahliashunt/decisions/item_order.py
+++ b/dahliashunt/decisions/item_order.py
@@ -69,7 +69,7 @@
     work: object = None
 
 
-class ItemOrder:
+class ItemQueue:
     """Queue of one owner's waiting items, with the mean run of its items.
 
     Examples
--- a/dahliashunt/decisions/job_expiry.py
+++ b/dahliashunt/decisions/job_expiry.py
@@ -19,11 +19,11 @@
 
 __all__ = ["ORPHAN_GRACE_MS", "RETENTION_MARGIN_MS", "may_remove"]
 
-MARGIN_MS = 60_000
+RETENTION_MARGIN_MS = 60_000
 """Milliseconds beyond the promised retention; covers clock skew and reads in
 progress."""
 
-ORPHANED_MS = 60_000
+ORPHAN_GRACE_MS = 60_000
 """Further milliseconds after which any node removes the job, since its last
 owner may be gone; longer than the owner's scan interval."""
 
--- a/dahliashunt/decisions/limits.py
+++ b/dahliashunt/decisions/limits.py
@@ -3,8 +3,8 @@
 A hard limit counts tokens, of prompt and answer alike.
 
 Load pattern: a caller sends more than its limit, whether others are idle or
-not. `Buckets` returns the time until a refused request would be admitted, so
-that its retry is not refused again.
+not. `TokenBuckets` returns the time until a refused request would be
+admitted, so that its retry is not refused again.
 """
 
 from dataclasses import dataclass
@@ -70,7 +70,7 @@
         self.at_ms = now
 
 
-class Buckets:
+class TokenBuckets:
     """Token buckets of callers with a hard limit.
 
     Examples
--- a/dahliashunt/decisions/loss_counts.py
+++ b/dahliashunt/decisions/loss_counts.py
@@ -117,7 +117,7 @@
         """Clear `digest`; return whether it had a count."""
         return self._count_by_digest.pop(digest, None) is not None
 
-    def is_convicted(self, digest: Fingerprint, now_ms: int) -> bool:
+    def is_quarantined(self, digest: Fingerprint, now_ms: int) -> bool:
         """Tell whether the request is quarantined now."""
         losses = self.losses(digest, now_ms)
         if losses < MAX_LOSSES:
--- a/dahliashunt/decisions/meter.py
+++ b/dahliashunt/decisions/meter.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-from dahliashunt.decisions.meter_messages import Reading
-from dahliashunt.decisions.meter_messages import Report
+from dahliashunt.decisions.meter_messages import UsageReading
+from dahliashunt.decisions.meter_messages import UsageReport
 from dahliashunt.decisions.rate_limits import evict_old
 from dahliashunt.decisions.rate_limits import IDLE_EXPIRY_MS
 from dahliashunt.decisions.rate_limits import Level
@@ -110,11 +110,13 @@
     def __len__(self) -> int:
         return len(self._use_by_workspace)
 
-    def report(self, now_ms: int, asker, report: Report) -> Reading:
-        """Count a report of `asker` and decide on the requests it wants."""
-        self.heard.note(now_ms, asker)
+    def report(
+        self, now_ms: int, requester, report: UsageReport
+    ) -> UsageReading:
+        """Count a report of `requester` and decide on its requests."""
+        self.heard.note(now_ms, requester)
         use = self._workspace_use(now_ms, report)
-        counted = self._entry_count(now_ms, use, asker, report)
+        counted = self._entry_count(now_ms, use, requester, report)
         granted = 0
         if report.sequence > counted.sequence:
             granted = self._count(now_ms, use, counted, report)
@@ -122,7 +124,7 @@
             # Repeat the answer to a duplicate report.
             granted = counted.granted
         after_ms = self._retry_after_ms(now_ms, use, report.wanted - granted)
-        return Reading(
+        return UsageReading(
             workspace=report.workspace,
             life=report.life,
             sequence=report.sequence,
@@ -151,8 +153,8 @@
         use.heard_ms = now_ms
         return use
 
-    def _entry_count(self, now_ms, use, asker, report):
-        key = (asker, report.life)
+    def _entry_count(self, now_ms, use, requester, report):
+        key = (requester, report.life)
         counted = use.count_by_life.get(key)
         if counted is None:
             evict_old(
--- a/dahliashunt/decisions/meter_messages.py
+++ b/dahliashunt/decisions/meter_messages.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class UsageReport:
     """Report of an entry on the requests of a workspace that it admitted.
 
     Counts are cumulative, so lost and duplicate reports do no harm.
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class UsageReading:
     """Reply of a meter to a report.
 
     Attributes
--- a/dahliashunt/decisions/metered.py
+++ b/dahliashunt/decisions/metered.py
@@ -32,7 +32,7 @@
 from dahliashunt.decisions.rate_limits import evict_old
 from dahliashunt.decisions.rate_limits import IDLE_EXPIRY_MS
 from dahliashunt.decisions.rate_limits import MAX_RETRY_AFTER_MS
-from dahliashunt.decisions.rate_limits import MeterView
+from dahliashunt.decisions.rate_limits import MeterState
 from dahliashunt.decisions.rate_limits import Outcome
 from dahliashunt.decisions.rate_limits import PendingVerdict
 from dahliashunt.decisions.rate_limits import RATE_LIMIT_POLICIES
@@ -40,11 +40,15 @@
 from dahliashunt.decisions.rate_limits import RateLimitVerdict
 from dahliashunt.decisions.rate_limits import Refused
 from dahliashunt.decisions.rate_limits import UsageView
-from dahliashunt.decisions.rate_limits import WorkspaceUsage
 
-__all__ = ["METERS", "METER_TIMEOUT_MS", "REPORT_INTERVAL_MS", "Metered"]
+__all__ = [
+    "METERS_PER_WORKSPACE",
+    "METER_TIMEOUT_MS",
+    "REPORT_INTERVAL_MS",
+    "Metered",
+]
 
-METERS = 3
+METERS_PER_WORKSPACE = 3
 """Meters per workspace; a majority remains after the loss of one."""
 
 UNCHECKED_SHARE = 0.5
@@ -219,7 +223,7 @@
         self._share.note(now_ms, workspace, limit)
         self._unreported[workspace] = use
         self._report_to_all(now_ms, use)
-        return Verdict.ADMITTED
+        return RateLimitVerdict.ADMITTED
 
     def _may_admit_locally(self, now_ms, use):
         """Tell whether one more request may be admitted locally.
@@ -238,7 +242,7 @@
     def _take_from_share(self, now_ms, use):
         """Decide by this entry's share, and report to the meters."""
         answer = self._share.take(now_ms, use.workspace, use.limit)
-        if answer is Verdict.ADMITTED:
+        if answer is RateLimitVerdict.ADMITTED:
             use.total += 1
         self._unreported[use.workspace] = use
         self._report_to_all(now_ms, use)
@@ -252,13 +256,13 @@
             use.total -= 1
             self._unreported[workspace] = use
 
-    def view(self, now_ms: int, workspace: int) -> UseView:
+    def view(self, now_ms: int, workspace: int) -> UsageView:
         """Return a workspace's usage without counting a request."""
         use = self._use_by_workspace.get(workspace)
         if use is None or not use.is_metered(now_ms):
             return self._share.view(now_ms, workspace)
         meters = tuple(
-            MeterView(
+            MeterState(
                 meter.host,
                 meter.level,
                 None if meter.at_ms is None else now_ms - meter.at_ms,
@@ -268,7 +272,7 @@
             for meter in use.meter_by_host.values()
         )
         entries = max(1, self._entry_count())
-        return UseView(use.level(now_ms), True, entries, meters)
+        return UsageView(use.level(now_ms), True, entries, meters)
 
     def _use(self, now_ms, workspace, limit):
         use = self._use_by_workspace.get(workspace)
@@ -296,7 +300,7 @@
             for host in hosts
         }
 
-    def outbox(self) -> list[tuple[str, Report]]:
+    def outbox(self) -> list[tuple[str, UsageReport]]:
         """Return and clear the reports to send, with their meters' hosts."""
         out, self._out = self._out, []
         return out
@@ -321,7 +325,7 @@
     def _report(self, now_ms, use, meter, wanted):
         if meter.unanswered_ms is None:
             meter.unanswered_ms = now_ms
-        report = Report(
+        report = UsageReport(
             workspace=use.workspace,
             life=use.life,
             sequence=use.sequence,
@@ -337,7 +341,7 @@
         use.queue.append(self._last_number)
         if use.question is None:
             self._ask_for_queue(now_ms, use)
-        return Asked(self._last_number)
+        return PendingVerdict(self._last_number)
 
     def _ask_for_queue(self, now_ms, use):
         meters = use.meter_by_host.values()
@@ -361,7 +365,9 @@
                 return True
         return False
 
-    def heard(self, now_ms: int, host: str, reading: Reading) -> list[Outcome]:
+    def heard(
+        self, now_ms: int, host: str, reading: UsageReading
+    ) -> list[Outcome]:
         """Store a meter's reading; return the outcomes it decides."""
         use = self._use_by_workspace.get(reading.workspace)
         if use is None or use.life != reading.life:
@@ -427,13 +433,13 @@
         outcomes = []
         for number in use.question.numbers:
             answer = self._share.take(now_ms, use.workspace, use.limit)
-            use.total += answer is Verdict.ADMITTED
+            use.total += answer is RateLimitVerdict.ADMITTED
             outcomes.append(Outcome(number, answer))
         self._close_question(now_ms, use)
         return outcomes
 
     @property
-    def is_waiting(self) -> bool:
+    def needs_tick(self) -> bool:
         """Whether `tick` must be called."""
         return bool(self._asking or self._unreported)
 
--- a/dahliashunt/decisions/model_state.py
+++ b/dahliashunt/decisions/model_state.py
@@ -49,7 +49,7 @@
         work = prompt_tokens + output_tokens * policy.output_token_weight
         return work + policy.request_tokens
 
-    def drain(self) -> Drain:
+    def drain(self) -> DrainRate:
         """Return the drain rate of the queue.
 
         By Little's law it is the requests in flight over their service
@@ -105,7 +105,7 @@
         were refused at the same time.
         """
         policy = self._policy
-        rate = self.drain().per_ms
+        rate = self.drain().requests_per_ms
         drained = (now - self._virtual_queue_ms) * rate
         self._virtual_queue = max(0.0, self._virtual_queue - drained) + 1
         self._virtual_queue_ms = now
--- a/dahliashunt/decisions/partners.py
+++ b/dahliashunt/decisions/partners.py
@@ -30,10 +30,10 @@
 
 __all__ = ["MAX_PARTNERS", "NON_PARTNER_SAMPLES", "sample_non_partners"]
 
-MOST_PARTNERS = 24
+MAX_PARTNERS = 24
 """Partners of an entry in one service."""
 
-OUTSIDERS = 2
+NON_PARTNER_SAMPLES = 2
 """Replicas sampled beyond the partners when every partner asked is full."""
 
 
--- a/dahliashunt/decisions/preemption.py
+++ b/dahliashunt/decisions/preemption.py
@@ -38,7 +38,7 @@
 
 def resume_prefill(stream: Stream, policy: AgentPolicy) -> int:
     """Return the tokens that the engine prefills at the next start."""
-    if stream.how is PreemptHow.EXPORT_KV:
+    if stream.how is PreemptMode.EXPORT_KV:
         return 0
     if stream.how is PreemptMode.RESUME:
         return stream.kv_tokens if policy.resume_recomputes else 0
@@ -47,19 +47,19 @@
 
 def cheapest_stop(
     stream: Stream, policy: AgentPolicy, model: StepModel
-) -> tuple[float, PreemptHow]:
+) -> tuple[float, PreemptMode]:
     """Return the least loss in ms of engine time, and its preemption mode."""
     per_prefill = model.prefill_ms_per_token
     prompt_ms = stream.work.prompt_tokens * per_prefill
     done_ms = stream.generated_tokens * model.per_stream_ms
-    options = [(prompt_ms + done_ms, PreemptHow.RESTART)]
+    options = [(prompt_ms + done_ms, PreemptMode.RESTART)]
     if policy.engine_resumes:
         again = stream.kv_tokens * per_prefill
         cost = again if policy.resume_recomputes else 0.0
-        options.append((cost, PreemptHow.RESUME))
+        options.append((cost, PreemptMode.RESUME))
     if policy.engine_exports_kv and stream.tokens_since_start > 0:
         moved = stream.kv_tokens * policy.kv_move_ms_per_1000 / 1000
-        options.append((moved, PreemptHow.EXPORT_KV))
+        options.append((moved, PreemptMode.EXPORT_KV))
     return min(options, key=lambda option: option[0])
 
 
--- a/dahliashunt/decisions/queueing.py
+++ b/dahliashunt/decisions/queueing.py
@@ -58,12 +58,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drain:
+class DrainRate:
     """Estimated speed at which a queue drains.
 
     Attributes
     ----------
-    per_ms : float
+    requests_per_ms : float
         Departure rate: requests per millisecond.
     ms_per_token : float
         Time from dispatch to first token per prompt token, with a margin.
@@ -204,7 +204,7 @@
         A refused request does not delay those behind it.
         """
         rejected = []
-        step = 1 / drain.per_ms
+        step = 1 / drain.requests_per_ms
         at = float(now)
         for waiting in queue:
             prefill = waiting.prompt_tokens * drain.ms_per_token
--- a/dahliashunt/decisions/rate_limits.py
+++ b/dahliashunt/decisions/rate_limits.py
@@ -14,10 +14,10 @@
 
 Policies
 --------
-`CAPS` registers them by name; all have the methods of `EqualShare`. `take`
-returns `Verdict.ADMITTED`, a `Refused` with the time to retry, or an `Asked`,
-whose outcome is returned later by `heard` or `tick`. `outbox` returns the
-messages to send to meters.
+`RATE_LIMIT_POLICIES` registers them by name; all have the methods of
+`EqualShare`. `take` returns `RateLimitVerdict.ADMITTED`, a `Refused` with the
+time to retry, or a `PendingVerdict`, whose outcome is returned later by
+`heard` or `tick`. `outbox` returns the messages to send to meters.
 """
 
 from dataclasses import dataclass
@@ -26,19 +26,18 @@
 from dahliashunt.decisions.registry import Registry
 
 __all__ = [
-    "CAPS",
     "IDLE_EXPIRY_MS",
     "MAX_RETRY_AFTER_MS",
-    "Asked",
+    "RATE_LIMIT_POLICIES",
     "EqualShare",
     "Level",
+    "MeterState",
     "Outcome",
     "PendingVerdict",
     "RateLimit",
     "RateLimitVerdict",
     "Refused",
-    "UseView",
-    "Verdict",
+    "UsageView",
     "evict_old",
     "wait_ms",
 ]
@@ -55,7 +54,7 @@
 """Longest Retry-After; load further ahead is not predictable."""
 
 
-class Verdict(enum.Enum):
+class RateLimitVerdict(enum.Enum):
     """Decision on a request."""
 
     ADMITTED = "admitted"
@@ -75,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class PendingVerdict:
     """A decision that is pending; its `Outcome` has the same number."""
 
     number: int
@@ -83,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The decision on an `Asked`."""
+    """The decision on a `PendingVerdict`."""
 
     number: int
     verdict: RateLimitVerdict | Refused
@@ -109,8 +108,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MeterView:
-    """State of one meter as known to an entry; see `Reading`."""
+class MeterState:
+    """State of one meter as known to an entry; see `UsageReading`."""
 
     host: str
     level: float
@@ -120,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UseView:
+class UsageView:
     """Usage of a workspace as one entry sees it.
 
     Attributes
@@ -131,13 +130,13 @@
         Whether meters decide; otherwise this entry's share does.
     entries : int
         Number of entries that share the limit when it is not metered.
-    meters : tuple of MeterView
+    meters : tuple of MeterState
     """
 
     level: float
     metered: bool
     entries: int
-    meters: tuple[WorkspaceUsage, ...] = ()
+    meters: tuple[MeterState, ...] = ()
 
 
 class Level:
@@ -247,7 +246,7 @@
         if share is not None:
             share.level.add(now_ms, self._entry_limit(limit)[0], -1)
 
-    def view(self, now_ms: int, workspace: int) -> UseView:
+    def view(self, now_ms: int, workspace: int) -> UsageView:
         """Return a workspace's usage without counting a request."""
         share = self._share_by_workspace.get(workspace)
         level = share.level.at(now_ms, 0) if share is not None else 0.0
@@ -282,6 +281,6 @@
         return []
 
     @property
-    def is_waiting(self) -> bool:
+    def needs_tick(self) -> bool:
         """Whether `tick` must be called."""
         return False
--- a/dahliashunt/decisions/replica_choice.py
+++ b/dahliashunt/decisions/replica_choice.py
@@ -65,7 +65,7 @@
     batch : int
         Slots, besides those taken, that batch items hold. An online request
         gets one by revoking the item; another batch item can't.
-    unheard : bool
+    agent_silent : bool
         Whether its agent does not answer, so that its load is unknown.
     connected : bool
         Whether an idle connection to it is open.
@@ -124,7 +124,7 @@
     return (
         one.avoided,
         is_full,
-        one.unheard,
+        one.agent_silent,
         one.cold,
         not _has_idle_slot(one),
         -(_free_slots(one) // SIMILAR_LOAD_SLOTS),
@@ -143,7 +143,7 @@
 
 
 def _is_eligible(one):
-    return not (one.avoided or one.cold or one.unheard)
+    return not (one.avoided or one.cold or one.agent_silent)
 
 
 def _has_idle_slot(one):
--- a/dahliashunt/decisions/retry_delay.py
+++ b/dahliashunt/decisions/retry_delay.py
@@ -41,11 +41,11 @@
 MIN_HOLD_MS = 100
 """Lower bound of the estimate; shorter holds are aborted or short answers."""
 
-TURNS = (1.0, 2.1)
+RETRY_DELAY_HOLDS = (1.0, 2.1)
 """Bounds of the retry delay, in hold times; the upper one stays within what
 callers wait."""
 
-OUTAGE_MS = (300, 1_600)
+OUTAGE_RETRY_BOUNDS_MS = (300, 1_600)
 """Bounds of the retry delay in an outage, in milliseconds."""
 
 OUTAGE_JITTER = (0.7, 1.3)
@@ -81,7 +81,7 @@
         return max(MIN_HOLD_MS, round(mean_ms))
 
 
-def return_after_ms(hold_ms: int, wait_ms: int, rng: random.Random) -> int:
+def retry_delay_ms(hold_ms: int, wait_ms: int, rng: random.Random) -> int:
     """Return the retry delay of a refused caller, in milliseconds.
 
     Parameters
@@ -97,11 +97,11 @@
     >>> 700 <= retry_delay_ms(700, 0, random.Random(1)) <= 1470
     True
     """
-    delay_ms = int(hold_ms * rng.uniform(*TURNS))
+    delay_ms = int(hold_ms * rng.uniform(*RETRY_DELAY_HOLDS))
     return max(wait_ms, delay_ms)
 
 
-def return_after_outage_ms(lasted_ms: int, rng: random.Random) -> int:
+def outage_retry_delay_ms(lasted_ms: int, rng: random.Random) -> int:
     """Return the retry delay in an outage, in milliseconds.
 
     Parameters
@@ -117,6 +117,6 @@
     >>> outage_retry_delay_ms(60_000, random.Random(1))
     1600
     """
-    min_ms, max_ms = OUTAGE_MS
+    min_ms, max_ms = OUTAGE_RETRY_BOUNDS_MS
     delay_ms = int(lasted_ms * rng.uniform(*OUTAGE_JITTER))
     return max(min_ms, min(max_ms, delay_ms))
--- a/dahliashunt/decisions/slot_allocator.py
+++ b/dahliashunt/decisions/slot_allocator.py
@@ -19,14 +19,14 @@
   with the most slack. That item is revoked and resumes elsewhere from its
   last event.
 - Batch gets only slots that online requests did not use in the last
-  `RECENT_MS`: an item in a shorter gap would be revoked before it has read
-  its prompt.
+  `BATCH_COOLDOWN_MS`: an item in a shorter gap would be revoked before it has
+  read its prompt.
 - If online requests hold all slots, a further one is queued here, never in
   the replica, and only if a slot is expected within its wait; otherwise it
   is refused at once.
 - Requests that can meet their deadline go before those that can't, so that
   a backlog after an outage does not delay all others (`caller_wait`).
-- Among these the lower `Ask.rank` goes first, except that each
+- Among these the lower `SlotRequest.rank` goes first, except that each
   `LOW_PRIORITY_INTERVAL`-th slot goes to a less urgent request, which
   prevents starvation.
 - Holds are reconciled with the replica's own list (`slot_holds`).
@@ -54,7 +54,7 @@
 HOLD_EWMA_WEIGHT = 0.1
 """Weight of a new hold time in the moving average."""
 
-RECENT_MS = 100
+BATCH_COOLDOWN_MS = 100
 """Milliseconds for which a slot that an online request released is kept from
 batch; about the time between two requests of a burst."""
 
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class _Waiting:
-    ask: Ask
+    ask: SlotRequest
     expires_ms: int
     deadline_ms: int
 
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True)
-class SlotKeeper:
+class SlotAllocator:
     """Allocator of one replica's slots.
 
     Parameters
@@ -99,16 +99,16 @@
         """Attempts that hold a slot."""
         return tuple(self._holds.by_id)
 
-    def ask(self, ask: Ask, now_ms: int) -> list:
+    def ask(self, ask: SlotRequest, now_ms: int) -> list:
         """Decide on `ask`; idempotent for a repeated attempt."""
         held = self._holds.by_id.get(ask.attempt_id)
         if held is not None:
             held.renewed_ms = now_ms
-            return [_answer(ask, Verdict.GRANTED)]
+            return [_answer(ask, SlotDecision.GRANTED)]
         if ask.attempt_id in self._waiting_by_id:
-            return [_answer(ask, Verdict.QUEUED)]
+            return [_answer(ask, SlotDecision.QUEUED)]
         if self.away:
-            return [_answer(ask, Verdict.AWAY)]
+            return [_answer(ask, SlotDecision.AWAY)]
         if ask.use is Use.BATCH:
             return self._ask_batch(ask, now_ms)
         return self._ask_online(ask, now_ms)
@@ -118,11 +118,11 @@
         holds = self._holds
         taken = online + holds.count(Use.BATCH) + holds.unmatched
         if self._waiting_by_id or taken >= self.slots:
-            return [_answer(ask, Verdict.FULL)]
+            return [_answer(ask, SlotDecision.FULL)]
         return [self._grant(ask, now_ms)]
 
     def _peak_online(self, now_ms):
-        """Return the peak of online holds over the last `RECENT_MS`."""
+        """Return the peak of online holds in the last `BATCH_COOLDOWN_MS`."""
         self._recent_online = [
             each for each in self._recent_online if each[0] > now_ms
         ]
@@ -138,11 +138,11 @@
                 return [revoked, self._grant(ask, now_ms)]
         max_delay_ms = min(ask.slack_ms, ask.wait_ms) or ask.wait_ms
         if self._expected_delay_ms(ask, now_ms) > max_delay_ms:
-            return [_answer(ask, Verdict.FULL)]
+            return [_answer(ask, SlotDecision.FULL)]
         self._waiting_by_id[ask.attempt_id] = _Waiting(
             ask, now_ms + ask.wait_ms, now_ms + ask.slack_ms
         )
-        return [_answer(ask, Verdict.QUEUED)]
+        return [_answer(ask, SlotDecision.QUEUED)]
 
     def _expected_delay_ms(self, ask, now_ms):
         """Return the expected queueing delay of `ask`, in ms."""
@@ -173,14 +173,16 @@
             return []
         if held.ask.use is Use.ONLINE:
             online_count = self._holds.count(Use.ONLINE) + 1
-            self._recent_online.append((now_ms + RECENT_MS, online_count))
+            self._recent_online.append(
+                (now_ms + BATCH_COOLDOWN_MS, online_count)
+            )
             lasted_ms = now_ms - held.since_ms
             self.hold_ms += HOLD_EWMA_WEIGHT * (lasted_ms - self.hold_ms)
         return self._grant_waiting(now_ms)
 
-    def renew(self, attempt_ids, asker, now_ms: int) -> None:
-        """Renew the holds of `attempt_ids` that belong to `asker`."""
-        self._holds.renew(attempt_ids, asker, now_ms)
+    def renew(self, attempt_ids, requester, now_ms: int) -> None:
+        """Renew the holds of `attempt_ids` that belong to `requester`."""
+        self._holds.renew(attempt_ids, requester, now_ms)
 
     def report(self, running: frozenset, waiting: int, now_ms: int) -> list:
         """Reconcile the holds with what the replica runs and queues."""
@@ -195,9 +197,9 @@
             return 0
         return self._queue_delay_ms(len(self._waiting_by_id))
 
-    def state(self) -> KeeperState:
+    def state(self) -> AllocatorState:
         """Return the state that is sent to entries."""
-        return KeeperState(
+        return AllocatorState(
             slots=self.slots,
             online=self._holds.count(Use.ONLINE) + self._holds.unmatched,
             batch=self._holds.count(Use.BATCH),
@@ -209,18 +211,18 @@
     def _revoke(self, now_ms):
         """Revoke a batch hold; return None if there is none."""
         ask = self._holds.revoke_batch(now_ms)
-        return ask and Revoked(ask.attempt_id, ask.asker)
+        return ask and Revoked(ask.attempt_id, ask.requester)
 
     def _grant(self, ask, now_ms):
         self._holds.grant(ask, now_ms)
-        return _answer(ask, Verdict.GRANTED)
+        return _answer(ask, SlotDecision.GRANTED)
 
     def _grant_waiting(self, now_ms):
         answers = []
         for attempt_id, waiting in list(self._waiting_by_id.items()):
             if waiting.expires_ms < now_ms:
                 del self._waiting_by_id[attempt_id]
-                answers.append(_answer(waiting.ask, Verdict.FULL))
+                answers.append(_answer(waiting.ask, SlotDecision.FULL))
         while self._waiting_by_id and self._holds.used < self.slots:
             waiting = self._waiting_by_id.pop(self._next_attempt_id(now_ms))
             answers.append(self._grant(waiting.ask, now_ms))
@@ -243,4 +245,4 @@
 
 
 def _answer(ask, verdict):
-    return Answered(ask.attempt_id, ask.asker, verdict)
+    return SlotReply(ask.attempt_id, ask.requester, verdict)
--- a/dahliashunt/decisions/slot_holds.py
+++ b/dahliashunt/decisions/slot_holds.py
@@ -36,7 +36,7 @@
 
     Attributes
     ----------
-    ask : Ask
+    ask : SlotRequest
     since_ms, renewed_ms : int
     due_ms : int
         Time of the grant plus the slack; the latest is revoked first.
@@ -73,13 +73,13 @@
         """Return the number of holds for `use`."""
         return sum(hold.ask.use is use for hold in self.by_id.values())
 
-    def grant(self, ask: Ask, now_ms: int) -> None:
+    def grant(self, ask: SlotRequest, now_ms: int) -> None:
         """Record a hold for `ask`."""
         due_ms = now_ms + ask.slack_ms
         self.by_id[ask.attempt_id] = Hold(ask, now_ms, now_ms, due_ms)
 
-    def renew(self, attempt_ids, asker, now_ms: int) -> None:
-        """Renew the holds of `attempt_ids` that belong to `asker`.
+    def renew(self, attempt_ids, requester, now_ms: int) -> None:
+        """Renew the holds of `attempt_ids` that belong to `requester`.
 
         Attempts without a hold, granted before the agent restarted, are
         counted from the replica's report instead.
@@ -89,7 +89,7 @@
             if hold is not None and hold.ask.requester == requester:
                 hold.renewed_ms = now_ms
 
-    def revoke_batch(self, now_ms: int) -> Ask | None:
+    def revoke_batch(self, now_ms: int) -> SlotRequest | None:
         """Drop the batch hold with the most slack; None if there is none."""
         batch = [
             hold for hold in self.by_id.values() if hold.ask.use is Use.BATCH
--- a/dahliashunt/decisions/slot_messages.py
+++ b/dahliashunt/decisions/slot_messages.py
@@ -23,7 +23,7 @@
     BATCH = "batch"
 
 
-class Verdict(enum.Enum):
+class SlotDecision(enum.Enum):
     """Answer to a request for a slot."""
 
     GRANTED = "granted"
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class SlotRequest:
     """Request of an entry for a slot.
 
     Attributes
@@ -41,7 +41,7 @@
     attempt_id : AttemptId
     run_id : RequestId
         Id under which the replica lists the request.
-    asker : object
+    requester : object
         Address for the answers; only compared.
     use : Use
     wait_ms : int
@@ -63,8 +63,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
-    """Verdict on an attempt, to be sent to `asker`."""
+class SlotReply:
+    """Verdict on an attempt, to be sent to `requester`."""
 
     attempt_id: AttemptId
     requester: object
@@ -73,14 +73,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Revoked:
-    """Order to `asker` to stop its attempt and free the slot."""
+    """Order to `requester` to stop its attempt and free the slot."""
 
     attempt_id: AttemptId
     requester: object
 
 
 @dataclass(frozen=True, slots=True)
-class KeeperState:
+class AllocatorState:
     """State of one replica's slots, as sent to entries.
 
     Attributes
--- a/dahliashunt/decisions/step_model.py
+++ b/dahliashunt/decisions/step_model.py
@@ -82,7 +82,9 @@
         step = base + per_stream * running + per_kv * kv_tokens / 1000
         return max(_MIN_STEP_MS, step)
 
-    def predict_alone(self, occupancy: Occupancy, step_ms: float) -> float:
+    def predict_without_batch(
+        self, occupancy: Occupancy, step_ms: float
+    ) -> float:
         """Return the step time in ms of the online streams without batch.
 
         With shorter steps fewer online streams run at a time, so that the
--- a/dahliashunt/decisions/streams.py
+++ b/dahliashunt/decisions/streams.py
@@ -32,9 +32,9 @@
         Tokens of the answer so far.
     tokens_since_start : int
         Tokens generated since the last start.
-    how : PreemptHow or None
+    how : PreemptMode or None
         How it was preempted, if it waits to be started again.
-    stopping : PreemptHow or None
+    stopping : PreemptMode or None
         How it is being preempted, until that takes effect.
     preemptions : int
         Preemptions so far.
@@ -52,8 +52,8 @@
     state: StreamState = StreamState.WAITING
     generated_tokens: int = 0
     tokens_since_start: int = 0
-    how: PreemptHow | None = None
-    stopping: PreemptHow | None = None
+    how: PreemptMode | None = None
+    stopping: PreemptMode | None = None
     preemptions: int = 0
     prefill: int = 0
     kv_at_start: int = 0
--- a/dahliashunt/decisions/tail.py
+++ b/dahliashunt/decisions/tail.py
@@ -84,7 +84,7 @@
         """Return whether a step may exceed the target for batch prompts."""
         return self._credit >= 1
 
-    def exceeds(self) -> None:
+    def spend_credit(self) -> None:
         """Pay for a step that will exceed the target for batch prompts."""
         self._credit -= 1
         self._prepaid = True
@@ -99,7 +99,7 @@
     def _update(self, gap_ms, occupancy, stalled) -> None:
         model = self._model
         step = model.predict(occupancy.running, occupancy.kv)
-        online_gap_ms = model.predict_alone(occupancy, step)
+        online_gap_ms = model.predict_without_batch(occupancy, step)
         if not stalled:
             online_gap_ms += max(0.0, gap_ms - step)
         self._track_online_tail(online_gap_ms)
--- a/dahliashunt/decisions/tests/engine_simulation.py
+++ b/dahliashunt/decisions/tests/engine_simulation.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineShape:
+class EngineParameters:
     """Step costs, capacity and delays of the engine.
 
     A message between agent and engine takes `hop_ms`; batch items arrive
@@ -84,7 +84,7 @@
         return self.token_ms[0] - self.offered_ms
 
 
-class Play:
+class EngineSimulation:
     """Simulation of one engine, driven by an agent's decisions."""
 
     def __init__(self, agent: AgentDecisions, shape=None, batch=None):
@@ -110,7 +110,7 @@
         self._last_load = (0, 0, 0)
         self._schedule(REPORT_MS, self._report)
 
-    def offer_at(self, at_ms, work: Work, answer: int):
+    def offer_at(self, at_ms, work: AttemptRequest, answer: int):
         self._schedule(at_ms, self._offer, work, answer)
 
     def cancel_at(self, at_ms, attempt_id):
@@ -143,7 +143,7 @@
 
     def _apply(self, decisions):
         for decision in decisions:
-            if isinstance(decision, TurnAway):
+            if isinstance(decision, RefuseAttempt):
                 trace = self.traces_by_id[decision.attempt_id]
                 trace.turned_away = decision
                 trace.turned_away_ms = self.now
@@ -310,7 +310,7 @@
         self._schedule(self.now + REPORT_MS, self._report)
 
 
-class Mix:
+class RequestMix:
     """Random requests with lognormal prompts and exponential answers."""
 
     def __init__(self, seed, prompt=300, answer=120, max_tokens=480):
--- a/dahliashunt/decisions/tests/fleet_simulation.py
+++ b/dahliashunt/decisions/tests/fleet_simulation.py
@@ -230,7 +230,7 @@
         )
 
 
-class Play:
+class FleetSimulation:
     """Simulation of clients, entries and engines on one virtual clock."""
 
     def __init__(
@@ -404,12 +404,12 @@
     return None
 
 
-def obedient(call, decision):
+def honour_retry_after(call, decision):
     """Retry after the given delay, up to five times."""
     return decision.retry_after_ms if call.sends < 6 else None
 
 
-def impatient(call, decision):
+def retry_after_50_ms(call, decision):
     """Retry after 50 ms, whatever Retry-After says."""
     return 50 if call.sends < 20 else None
 
--- a/dahliashunt/decisions/tests/load_scenarios.py
+++ b/dahliashunt/decisions/tests/load_scenarios.py
@@ -9,12 +9,12 @@
 
 from dahliashunt.decisions.entry_policy import EntryPolicy
 from dahliashunt.decisions.events import AttemptEnd
-from dahliashunt.decisions.tests.play import Call
-from dahliashunt.decisions.tests.play import goodput
-from dahliashunt.decisions.tests.play import late_share
-from dahliashunt.decisions.tests.play import Play
-from dahliashunt.decisions.tests.play import poisson
-from dahliashunt.decisions.tests.play import quantile
+from dahliashunt.decisions.tests.fleet_simulation import Call
+from dahliashunt.decisions.tests.fleet_simulation import FleetSimulation
+from dahliashunt.decisions.tests.fleet_simulation import goodput
+from dahliashunt.decisions.tests.fleet_simulation import late_share
+from dahliashunt.decisions.tests.fleet_simulation import poisson
+from dahliashunt.decisions.tests.fleet_simulation import quantile
 
 CAPACITY = 61
 
@@ -41,7 +41,7 @@
 
 def saturation(policy: EntryPolicy, times: float, entries=1, seed=1):
     """Load with a multiple of the capacity for 40 s."""
-    sim = Play(policy, entries=entries, seed=seed)
+    sim = FleetSimulation(policy, entries=entries, seed=seed)
     rng = random.Random(seed)
     sim.send(poisson(rng, times * CAPACITY, 0, 40_000, typical_call(rng)))
     sim.run(60_000)
@@ -55,7 +55,7 @@
 
 def burst(policy: EntryPolicy, resend=None, seed=1):
     """Load at half the capacity, with a burst of four times it for 2 s."""
-    sim = Play(policy, seed=seed)
+    sim = FleetSimulation(policy, seed=seed)
     sim.resend = resend or sim.resend
     rng = random.Random(seed)
     make = typical_call(rng)
@@ -76,7 +76,7 @@
 
 def hot_callers(policy: EntryPolicy, seed=1):
     """Two callers send 150 a second each, twenty send 1 a second each."""
-    sim = Play(policy, seed=seed)
+    sim = FleetSimulation(policy, seed=seed)
     rng = random.Random(seed)
     for i in range(22):
         rate = 150 if i < 2 else 1
@@ -98,7 +98,7 @@
 
 def long_among_short(policy: EntryPolicy, seed=1):
     """One caller sends long prompts and answers among short ones."""
-    sim = Play(policy, seed=seed)
+    sim = FleetSimulation(policy, seed=seed)
     rng = random.Random(seed)
     sim.send(poisson(rng, 45, 0, 40_000, typical_call(rng)))
 
@@ -119,7 +119,7 @@
 
 def slow_endpoint(policy: EntryPolicy, seed=1):
     """One of five engines is eight times slower from 10 s to 30 s."""
-    sim = Play(policy, seed=seed)
+    sim = FleetSimulation(policy, seed=seed)
     rng = random.Random(seed)
     sim.send(poisson(rng, 40, 0, 50_000, typical_call(rng)))
     slow = sim.engines[0]
@@ -140,7 +140,7 @@
 
 def failing_endpoint(policy: EntryPolicy, seed=1):
     """One of five engines fails all requests from 10 s to 20 s."""
-    sim = Play(policy, seed=seed)
+    sim = FleetSimulation(policy, seed=seed)
     rng = random.Random(seed)
     sim.send(poisson(rng, 30, 0, 40_000, typical_call(rng)))
     bad = sim.engines[0]
@@ -159,7 +159,7 @@
 
 def lost_data_centre(policy: EntryPolicy, seed=1):
     """Lose a data centre with two of six engines at 75% load."""
-    sim = Play(policy, engines=6, entries=3, seed=seed)
+    sim = FleetSimulation(policy, engines=6, entries=3, seed=seed)
     rng = random.Random(seed)
     sim.send(poisson(rng, 55, 0, 60_000, typical_call(rng)))
     for engine in sim.engines:
@@ -178,7 +178,7 @@
 
 def stale_reports(policy: EntryPolicy, missing: tuple[int, ...], seed=1):
     """Stop the reports of some engines after 5 s, with three entries."""
-    sim = Play(policy, entries=3, seed=seed)
+    sim = FleetSimulation(policy, entries=3, seed=seed)
     rng = random.Random(seed)
     sim.send(poisson(rng, 50, 0, 40_000, typical_call(rng)))
     for i in missing:
@@ -193,7 +193,7 @@
 
 def prefixes(policy: EntryPolicy, hot=0.0, seed=1, rate=35):
     """Conversations with long shared prefixes; share `hot` uses one key."""
-    sim = Play(policy, entries=3, seed=seed)
+    sim = FleetSimulation(policy, entries=3, seed=seed)
     rng = random.Random(seed)
 
     def make(at):
@@ -222,7 +222,7 @@
 
 def poison(policy: EntryPolicy, entries=3, resend=None, seed=1):
     """Resend a request that crashes each engine that runs it."""
-    sim = Play(policy, engines=6, entries=entries, seed=seed)
+    sim = FleetSimulation(policy, engines=6, entries=entries, seed=seed)
     sim.resend = resend or sim.resend
     rng = random.Random(seed)
     sim.send(poisson(rng, 30, 0, 60_000, typical_call(rng)))
@@ -249,7 +249,7 @@
 
 def one_kind(policy: EntryPolicy, rate, seed=1, stop=40_000, **fields):
     """Load with one kind of call; results cover calls sent after 10 s."""
-    sim = Play(policy, seed=seed)
+    sim = FleetSimulation(policy, seed=seed)
     rng = random.Random(seed)
 
     def make(at):
@@ -267,7 +267,7 @@
 
 def cold_start(policy: EntryPolicy, seed=1):
     """Load at 90% of the capacity from the start."""
-    sim = Play(policy, seed=seed)
+    sim = FleetSimulation(policy, seed=seed)
     rng = random.Random(seed)
     sim.send(poisson(rng, 55, 0, 10_000, typical_call(rng)))
     sim.run(40_000)
@@ -277,7 +277,7 @@
 
 def hot_and_long(policy: EntryPolicy, entries=1, small=40, seed=1):
     """Two callers send 20 long calls a second each among small callers."""
-    sim = Play(policy, entries=entries, seed=seed)
+    sim = FleetSimulation(policy, entries=entries, seed=seed)
     rng = random.Random(seed)
     sim.send(poisson(rng, small, 0, 60_000, typical_call(rng, 40)))
     for name in ("hot0", "hot1"):
--- a/dahliashunt/decisions/tests/rate_limit_simulation.py
+++ b/dahliashunt/decisions/tests/rate_limit_simulation.py
@@ -1,8 +1,9 @@
 """Simulated entries, meters and a lossy network on a virtual clock.
 
-`CapPlay` sends requests of workspaces through the policies of `CAPS` and
-records which were admitted. `overruns` compares these with the bound of the
-limit in each window, and `lost` with one exact bucket.
+`RateLimitSimulation` sends requests of workspaces through the policies of
+`RATE_LIMIT_POLICIES` and records which were admitted. `overruns` compares
+these with the bound of the limit in each window, and `lost` with one exact
+bucket.
 """
 
 import bisect
@@ -54,13 +55,13 @@
     deferred: list = field(default_factory=list)
 
 
-class CapPlay:
+class RateLimitSimulation:
     """Simulation of a fleet of entries and meters.
 
     Parameters
     ----------
     policy : str
-        Name in `CAPS`.
+        Name in `RATE_LIMIT_POLICIES`.
     entries, meters : int
     limit : RateLimit
         Limit of every workspace.
@@ -151,7 +152,7 @@
             return
         limit = self.limit_by_entry[number]
         answer = entry.policy.take(self.now_ms, request.workspace, limit)
-        if isinstance(answer, Asked):
+        if isinstance(answer, PendingVerdict):
             entry.pending[answer.number] = request
         else:
             self._decide(request, answer)
--- a/dahliashunt/decisions/tests/shared_fleet.py
+++ b/dahliashunt/decisions/tests/shared_fleet.py
@@ -69,14 +69,14 @@
     """Start and end of the time in which no entry is reachable."""
 
 
-class EarliestDue(ItemOrder):
+class EarliestDue(ItemQueue):
     """Baseline: earliest due date first, without regard to feasibility."""
 
     def laxity_ms(self, item, now_ms):
         return 0
 
 
-class NeverRevokes(SlotKeeper):
+class NeverRevokes(SlotAllocator):
     """Baseline: online requests wait until an item ends."""
 
     __slots__ = ()
@@ -243,10 +243,12 @@
             rounds.append((wait_ms, asked[:1]))
         for wait_ms, numbers in rounds:
             for number in numbers:
-                asker = ("online", number, online)
-                ask = Ask(name, name, asker, Use.ONLINE, wait_ms, slack_ms)
+                requester = ("online", number, online)
+                ask = SlotRequest(
+                    name, name, requester, Use.ONLINE, wait_ms, slack_ms
+                )
                 verdict = self._request_slot(self._keepers[number], ask)
-                if verdict is not Verdict.FULL:
+                if verdict is not SlotDecision.FULL:
                     return
         self._refuse(online)
 
@@ -261,8 +263,8 @@
         online.refused = online.is_final = True
         self._schedule(online.arrived_ms, self._place_online, online)
 
-    def _request_slot(self, keeper, ask):
-        effects = keeper.ask(ask, self._now_ms)
+    def _request_slot(self, allocator, ask):
+        effects = allocator.ask(ask, self._now_ms)
         self._apply_effects(effects)
         return effects[-1].verdict
 
@@ -291,8 +293,8 @@
             self._in_time += 1
 
     def _release(self, number, attempt_id):
-        keeper = self._keepers[number]
-        self._apply_effects(keeper.release(attempt_id, self._now_ms))
+        allocator = self._keepers[number]
+        self._apply_effects(allocator.release(attempt_id, self._now_ms))
 
     def _ordered(self):
         candidates = [
@@ -354,11 +356,11 @@
             return
         name = f"item{next(self._sequence)}"
         slack_ms = queue.slack_ms(waiting, now_ms)
-        ask = Ask(name, name, ("item",), Use.BATCH, 0, slack_ms)
+        ask = SlotRequest(name, name, ("item",), Use.BATCH, 0, slack_ms)
         for number in self._ordered()[:MAX_ASKED]:
             if (
                 self._request_slot(self._keepers[number], ask)
-                is Verdict.GRANTED
+                is SlotDecision.GRANTED
             ):
                 self._start(waiting.work, number, name)
                 self._schedule(
--- a/dahliashunt/decisions/tests/test_agent.py
+++ b/dahliashunt/decisions/tests/test_agent.py
@@ -21,13 +21,13 @@
 
 
 def online(name, prompt=100, start_by=700, max_tokens=100, **more):
-    return Work(
+    return AttemptRequest(
         name, Priority.ONLINE, "c", prompt, max_tokens, start_by, True, **more
     )
 
 
 def batch(name, prompt=100, max_tokens=100, **more):
-    return Work(
+    return AttemptRequest(
         name, Priority.BATCH, "a", prompt, max_tokens, FOREVER, True, **more
     )
 
@@ -89,7 +89,7 @@
 def test_preempted_stream_does_not_expire():
     # It started in time, and a refusal would lose its work.
     agent = make(max_running=1, reserve_slots=0)
-    work = Work("b", Priority.BATCH, "a", 100, 100, 100, True)
+    work = AttemptRequest("b", Priority.BATCH, "a", 100, 100, 100, True)
     assert ids_of(Start, agent.offer(0, work)) == ["b"]
     (stop,) = agent.offer(60, online("o"))
     agent.preempted(90, "b", stop.how, 1)
@@ -154,7 +154,7 @@
     # wake_ms may be too early after streams started, but not too late.
     assert agent.tick(agent.wake_ms()) == []
     assert agent.wake_ms() == 60_001
-    assert ids_of(TurnAway, agent.tick(60_001)) == ["w"]
+    assert ids_of(RefuseAttempt, agent.tick(60_001)) == ["w"]
     assert agent.wake_ms() is None
 
 
@@ -164,7 +164,7 @@
     assert agent.offer(1, batch("b1", prompt=600)) == []
     decisions = agent.offer(2, online("o", prompt=600))
     assert ids_of(Preempt, decisions) == ["b0"] and len(decisions) == 1
-    decisions = agent.preempted(30, "b0", PreemptHow.RESTART, 0)
+    decisions = agent.preempted(30, "b0", PreemptMode.RESTART, 0)
     assert ids_of(Start, decisions) == ["o"]
 
 
@@ -227,7 +227,7 @@
     assert ids_of(Start, agent.offer(0, batch("suspect", alone=True)))
     decisions = agent.offer(10, online("o"))
     assert ids_of(Preempt, decisions) == ["suspect"] and len(decisions) == 1
-    decisions = agent.preempted(20, "suspect", PreemptHow.RESTART, 0)
+    decisions = agent.preempted(20, "suspect", PreemptMode.RESTART, 0)
     assert ids_of(Start, decisions) == ["o"]
 
 
@@ -244,7 +244,7 @@
 def test_leaving_refuses_waiting_and_new_attempts():
     agent = make_filled(2, max_running=2, reserve_slots=0)
     agent.offer(60, batch("w"))
-    assert ids_of(TurnAway, agent.leaving(70)) == ["w"]
+    assert ids_of(RefuseAttempt, agent.leaving(70)) == ["w"]
     (refusal,) = agent.offer(71, online("late"))
     assert refusal.kind is ErrorKind.LEAVING and refusal.ran is Ran.NO
     assert agent.ended(90, "b0") == []
@@ -320,7 +320,7 @@
     refusals = []
     for n in range(40):
         decisions = agent.offer(40 + n, batch(f"b{n}", prompt=6_000))
-        refusals += [d for d in decisions if isinstance(d, TurnAway)]
+        refusals += [d for d in decisions if isinstance(d, RefuseAttempt)]
     assert len(refusals) == 40 - HARM_FIRST.max_held_items // 2
     assert {d.retry_after_ms for d in refusals} == {HARM_FIRST.long_retry_ms}
     assert agent.batch_room() > 0
--- a/dahliashunt/decisions/tests/test_agent_simulation.py
+++ b/dahliashunt/decisions/tests/test_agent_simulation.py
@@ -28,7 +28,9 @@
 
 
 def offer(simulation, rate_s, from_ms, until_ms, prefix="o", seed=5):
-    for arrival in Mix(seed).arrivals(prefix, rate_s, from_ms, until_ms):
+    for arrival in RequestMix(seed).arrivals(
+        prefix, rate_s, from_ms, until_ms
+    ):
         simulation.offer_at(*arrival)
 
 
@@ -132,7 +134,7 @@
 @pytest.mark.parametrize("rate_s", [2, 8])
 def test_kv_memory_never_overflows(rate_s, with_batch):
     # An overflow as answers grow evicts streams, which callers see as gaps.
-    shape = EngineShape(kv_total=8_000)
+    shape = EngineParameters(kv_total=8_000)
     policy = replace(THROUGHPUT_FIRST, kv_total_tokens=8_000)
     simulation = make_simulation(policy, shape, with_batch)
     offer(simulation, rate_s, 0, 30 * SECOND)
@@ -143,7 +145,7 @@
 
 def test_long_prompts_do_not_hold_up_short_ones():
     # A long prompt that must wait must not block the batch queue.
-    sizes = Mix(7, 200, 200)
+    sizes = RequestMix(7, 200, 200)
     count = iter(range(1 << 30))
 
     def item():
@@ -157,7 +159,7 @@
 
     policy = replace(THROUGHPUT_FIRST, long_stall_ms=0.0, longest_stall_ms=0.0)
     agent = AgentDecisions(policy, random.Random(3))
-    simulation = Play(agent, EngineShape(), item)
+    simulation = EngineSimulation(agent, EngineParameters(), item)
     offer(simulation, 3, 0, 30 * SECOND)
     simulation.run(30 * SECOND)
     assert simulation.batch_tokens > 0.3 * FULL_BATCH_TOKENS_S * 30
--- a/dahliashunt/decisions/tests/test_caps.py
+++ b/dahliashunt/decisions/tests/test_caps.py
@@ -26,7 +26,9 @@
 
 def hot_simulation(policy, seed, callers=ENTRIES, times=HOT_FACTOR, **options):
     """Return a simulation with a workspace at `times` its limit."""
-    sim = CapPlay(policy, ENTRIES, METER_HOSTS, LIMIT, seed, **options)
+    sim = rate_limit_simulation.RateLimitSimulation(
+        policy, ENTRIES, METER_HOSTS, LIMIT, seed, **options
+    )
     rng = random.Random(seed)
     for at_ms in arrivals(rng, times * RATE, 0, SECONDS * 1000):
         sim.send(at_ms, rng.randrange(callers), 7)
@@ -178,7 +180,9 @@
 ):
     """Guards against overruns under random sequences of faults."""
     limit = RateLimit(rate, rate + ALLOWANCE, 1)
-    sim = CapPlay("metered", 12, 5, limit, seed)
+    sim = rate_limit_simulation.RateLimitSimulation(
+        "metered", 12, 5, limit, seed
+    )
     sim.loss = loss
     rng = random.Random(seed)
     for at_ms in arrivals(rng, times * rate, 0, 14_000):
@@ -237,7 +241,7 @@
 
 def test_a_request_that_did_not_run_is_given_back():
     """Guards against requests refused by replicas that use up a limit."""
-    sim = CapPlay("metered", 1, 3, LIMIT)
+    sim = rate_limit_simulation.RateLimitSimulation("metered", 1, 3, LIMIT)
     policy = sim.entries[0].policy
     for n in range(200):
         sim.now_ms = 10 * n
@@ -265,7 +269,9 @@
     """Guards against minimum shares that exceed the limit in total."""
     rate, entries = 300.0, 500
     limit = RateLimit(rate, rate + ALLOWANCE, 1)
-    sim = CapPlay("metered", entries, 64, limit, seed=1)
+    sim = rate_limit_simulation.RateLimitSimulation(
+        "metered", entries, 64, limit, seed=1
+    )
     rng = random.Random(1)
     for at_ms in arrivals(rng, HOT_FACTOR * rate, 0, 14_000):
         sim.send(at_ms, rng.randrange(entries), 7)
--- a/dahliashunt/decisions/tests/test_entry_parts.py
+++ b/dahliashunt/decisions/tests/test_entry_parts.py
@@ -71,7 +71,7 @@
 
 
 def test_request_larger_than_the_burst_is_admitted_with_a_debt():
-    buckets = Buckets()
+    buckets = TokenBuckets()
     limits = CallerLimits(tokens_a_second=100, burst_s=1.0)
     assert buckets.take(0, "a", 500, limits) == 0
     assert buckets.take(0, "a", 10, limits) == 4_100
--- a/dahliashunt/decisions/tests/test_loss_counts.py
+++ b/dahliashunt/decisions/tests/test_loss_counts.py
@@ -32,8 +32,8 @@
     while now_ms < 10_000 and not counts.is_quarantined("popular", now_ms):
         counts.lost("popular", now_ms, now_ms + 50)
         now_ms += 200
-    assert counts.is_convicted("popular", now_ms)
-    assert not counts.is_convicted("popular", now_ms + INITIAL_QUARANTINE_MS)
+    assert counts.is_quarantined("popular", now_ms)
+    assert not counts.is_quarantined("popular", now_ms + INITIAL_QUARANTINE_MS)
     assert counts.served("popular")
     assert not counts.is_quarantined("popular", now_ms)
 
@@ -54,7 +54,7 @@
 def test_a_count_of_another_entry_counts_here():
     counts = LossCounts()
     counts.learn("bad", MAX_LOSSES, 0)
-    assert counts.is_convicted("bad", 1)
+    assert counts.is_quarantined("bad", 1)
     counts.learn("bad", 1, 2)
     assert counts.losses("bad", 2) == MAX_LOSSES
 
--- a/dahliashunt/decisions/tests/test_partners.py
+++ b/dahliashunt/decisions/tests/test_partners.py
@@ -83,7 +83,7 @@
         return rng.sample(sorted(partners_of[entry]), 4)
 
     def both(entry, rng):
-        others = draw_outsiders(replicas, partners_of[entry], rng)
+        others = sample_non_partners(replicas, partners_of[entry], rng)
         return alone(entry, rng) + [one.replica_id for one in others]
 
     def everywhere(entry, rng):
--- a/dahliashunt/decisions/tests/test_replica_choice.py
+++ b/dahliashunt/decisions/tests/test_replica_choice.py
@@ -40,7 +40,7 @@
 
 def test_a_replica_without_an_agent_goes_after_any_with_room():
     # Guards against asking replicas that look idle for lack of reports.
-    gone = candidate("a", 0, unheard=True)
+    gone = candidate("a", 0, agent_silent=True)
     assert order([gone, candidate("b", 7)]) == ["b", "a"]
     assert order([gone, candidate("b", 8)]) == ["a", "b"]
     for seed in range(5):
--- a/dahliashunt/decisions/tests/test_shared_fleet.py
+++ b/dahliashunt/decisions/tests/test_shared_fleet.py
@@ -48,14 +48,14 @@
 """Retry delay until the next slot is expected to be free."""
 
 HOLD_BASED_DELAY_MS = (700, 1_470)
-"""Retry delay of `return_time` for holds of 0.7 s."""
+"""Retry delay of `retry_delay` for holds of 0.7 s."""
 
 REFUSED_TOLERANCE = 15
 """Further online requests that a gain for batch may refuse; about 0.5 %."""
 
 
 @functools.cache
-def simulate(load, recent_ms=RECENT_MS, **disabled):
+def simulate(load, recent_ms=BATCH_COOLDOWN_MS, **disabled):
     switches = Switches(**disabled)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(slot_allocator, "BATCH_COOLDOWN_MS", recent_ms)
@@ -99,7 +99,7 @@
 
 def test_without_revokes_a_wave_finds_the_fleet_full():
     # Guards against a load on which revocation makes no difference.
-    disabled = simulate(WAVES, keeper=NeverRevokes)
+    disabled = simulate(WAVES, allocator=NeverRevokes)
     assert (
         mean(disabled, "refused")
         > mean(simulate(WAVES), "refused") + REFUSED_TOLERANCE
--- a/dahliashunt/decisions/tests/test_slot_allocator.py
+++ b/dahliashunt/decisions/tests/test_slot_allocator.py
@@ -2,13 +2,11 @@
 
 import pytest
 
-from dahliashunt.decisions import slot_keeper
+from dahliashunt.decisions import slot_allocator
+from dahliashunt.decisions.slot_allocator import BATCH_COOLDOWN_MS
+from dahliashunt.decisions.slot_allocator import SlotAllocator
 from dahliashunt.decisions.slot_holds import HOLD_TTL_MS
 from dahliashunt.decisions.slot_holds import START_GRACE_MS
-from dahliashunt.decisions.slot_keeper import RECENT_MS
-from dahliashunt.decisions.slot_keeper import SlotKeeper
-from dahliashunt.decisions.slot_messages import Answered
-from dahliashunt.decisions.slot_messages import Ask
 from dahliashunt.decisions.slot_messages import Revoked
 from dahliashunt.decisions.slot_messages import SlotDecision
 from dahliashunt.decisions.slot_messages import SlotReply
@@ -47,11 +45,13 @@
     assert verdicts(allocator.ask(online("c"), 0)) == [SlotDecision.FULL]
 
 
-def test_an_online_request_takes_the_slot_of_the_item_with_most_slack(keeper):
+def test_an_online_request_takes_the_slot_of_the_item_with_most_slack(
+    allocator,
+):
     # Guards against online requests that wait until a batch item ends.
-    keeper.ask(batch("urgent", slack_ms=1_000), 0)
-    keeper.ask(batch("lax", slack_ms=9_000), 0)
-    effects = keeper.ask(online("a"), 10)
+    allocator.ask(batch("urgent", slack_ms=1_000), 0)
+    allocator.ask(batch("lax", slack_ms=9_000), 0)
+    effects = allocator.ask(online("a"), 10)
     assert revoked(effects) == ["lax"]
     assert verdicts(effects) == [SlotDecision.GRANTED]
 
@@ -79,7 +79,7 @@
     ]
 
 
-def test_a_request_in_time_goes_before_those_that_are_late(keeper):
+def test_a_request_in_time_goes_before_those_that_are_late(allocator):
     # Guards against new callers that wait behind late ones after an outage.
     for name in ("a", "b"):
         allocator.ask(online(name), 0)
@@ -101,7 +101,7 @@
     assert granted.attempt_id == "new"
 
 
-def test_a_request_that_would_wait_past_its_time_may_come_back(keeper):
+def test_a_request_that_would_wait_past_its_time_may_come_back(allocator):
     # Guards against queueing a request that could be in time elsewhere.
     for name in ("a", "b"):
         allocator.ask(online(name), 0)
@@ -109,49 +109,49 @@
     assert verdicts(refused) == [SlotDecision.FULL]
 
 
-def test_a_repeated_ask_holds_one_slot(keeper):
+def test_a_repeated_ask_holds_one_slot(allocator):
     # Guards against a second hold when the answer to a request is lost.
-    keeper.ask(online("a"), 0)
-    assert verdicts(keeper.ask(online("a"), 25)) == [Verdict.GRANTED]
-    assert keeper.state().online == 1
+    allocator.ask(online("a"), 0)
+    assert verdicts(allocator.ask(online("a"), 25)) == [SlotDecision.GRANTED]
+    assert allocator.state().online == 1
 
 
-def test_a_lost_release_is_found_by_the_report(keeper):
+def test_a_lost_release_is_found_by_the_report(allocator):
     # Guards against a slot leak when the release datagram is lost.
-    keeper.ask(online("a"), 0)
-    keeper.report(frozenset({"a"}), 0, 100)
-    keeper.report(NO_RUNS, 0, START_GRACE_MS)
-    assert keeper.state().online == 1
-    keeper.report(NO_RUNS, 0, START_GRACE_MS + 1)
-    assert keeper.state().online == 0
+    allocator.ask(online("a"), 0)
+    allocator.report(frozenset({"a"}), 0, 100)
+    allocator.report(NO_RUNS, 0, START_GRACE_MS)
+    assert allocator.state().online == 1
+    allocator.report(NO_RUNS, 0, START_GRACE_MS + 1)
+    assert allocator.state().online == 0
 
 
-def test_a_dead_entrys_slots_are_freed(keeper):
-    keeper.ask(online("a"), 0)
-    keeper.renew(["a"], "e1", 1_000)
+def test_a_dead_entrys_slots_are_freed(allocator):
+    allocator.ask(online("a"), 0)
+    allocator.renew(["a"], "e1", 1_000)
     running = frozenset({"a"})
-    keeper.report(running, 0, 1_000 + HOLD_TTL_MS)
-    assert keeper.state().online == 1
-    keeper.report(NO_RUNS, 0, 1_001 + HOLD_TTL_MS)
-    assert keeper.state().online == 0
+    allocator.report(running, 0, 1_000 + HOLD_TTL_MS)
+    assert allocator.state().online == 1
+    allocator.report(NO_RUNS, 0, 1_001 + HOLD_TTL_MS)
+    assert allocator.state().online == 0
 
 
-def test_another_entrys_renewal_keeps_nothing(keeper):
-    keeper.ask(online("a"), 0)
-    keeper.renew(["a"], "e2", HOLD_TTL_MS)
-    keeper.report(frozenset({"a"}), 0, HOLD_TTL_MS + 1)
+def test_another_entrys_renewal_keeps_nothing(allocator):
+    allocator.ask(online("a"), 0)
+    allocator.renew(["a"], "e2", HOLD_TTL_MS)
+    allocator.report(frozenset({"a"}), 0, HOLD_TTL_MS + 1)
     # The run still counts as taken, although its hold has expired.
-    assert keeper.state().online == 1
-    assert verdicts(keeper.ask(batch("b"), HOLD_TTL_MS + 2)) == [
-        Verdict.GRANTED
+    assert allocator.state().online == 1
+    assert verdicts(allocator.ask(batch("b"), HOLD_TTL_MS + 2)) == [
+        SlotDecision.GRANTED
     ]
 
 
-def test_runs_from_before_a_restart_are_counted(keeper):
+def test_runs_from_before_a_restart_are_counted(allocator):
     # Guards against overfilling a replica whose agent lost its holds.
-    keeper.report(frozenset({"x", "y"}), 0, 0)
-    assert verdicts(keeper.ask(batch("a"), 1)) == [Verdict.FULL]
-    assert verdicts(keeper.ask(online("b"), 1)) == [Verdict.FULL]
+    allocator.report(frozenset({"x", "y"}), 0, 0)
+    assert verdicts(allocator.ask(batch("a"), 1)) == [SlotDecision.FULL]
+    assert verdicts(allocator.ask(online("b"), 1)) == [SlotDecision.FULL]
 
 
 def test_a_revoked_run_is_not_counted_while_it_ends(allocator):
@@ -177,11 +177,13 @@
     assert verdicts(allocator.ask(online("a"), 0)) == [SlotDecision.AWAY]
 
 
-@pytest.mark.parametrize("kept", [True, False], ids=["keeper", "own_counts"])
+@pytest.mark.parametrize(
+    "kept", [True, False], ids=["allocator", "own_counts"]
+)
 def test_a_wave_through_many_entries(kept):
     # Guards against overload by entries that count only their own requests,
     # which the second case shows.
-    keeper = SlotKeeper(slots=2)
+    allocator = SlotAllocator(slots=2)
     for name in ("i1", "i2"):
         allocator.ask(batch(name), 0)
     inside = 2
@@ -198,10 +200,10 @@
 def test_batch_does_not_chase_the_gaps_of_a_wave(monkeypatch, recent_ms):
     # Guards against an item that is granted and revoked in each short gap
     # between two online requests and makes no progress.
-    monkeypatch.setattr(slot_keeper, "RECENT_MS", recent_ms)
-    keeper = SlotKeeper(slots=2)
-    keeper.ask(online("r0"), 0)
-    keeper.ask(online("r1"), 50)
+    monkeypatch.setattr(slot_allocator, "BATCH_COOLDOWN_MS", recent_ms)
+    allocator = SlotAllocator(slots=2)
+    allocator.ask(online("r0"), 0)
+    allocator.ask(online("r1"), 50)
     revokes = 0
     for step in range(30):
         now_ms = 100 * step + 100
@@ -217,7 +219,7 @@
     ]
 
 
-def test_the_more_urgent_goes_first_among_those_that_wait(keeper):
+def test_the_more_urgent_goes_first_among_those_that_wait(allocator):
     """Guards against ignoring the rank of queued requests."""
     for name in ("a", "b"):
         allocator.ask(online(name), 0)
@@ -232,7 +234,7 @@
 LOW_WORKSPACES = 3
 
 
-def saturate(keeper):
+def saturate(allocator):
     """Offer twice the capacity; return counts served and sent by workspace.
 
     Half of the requests are urgent; the others are of low priority, spread
@@ -243,20 +245,20 @@
     for number, now_ms in enumerate(range(0, SATURATED_MS, gap_ms)):
         for name in [n for n, at_ms in ends.items() if at_ms <= now_ms]:
             del ends[name]
-            record(keeper.release(name, now_ms), served, ends, now_ms)
+            record(allocator.release(name, now_ms), served, ends, now_ms)
         is_urgent = number % 2 == 0
         workspace = "u" if is_urgent else f"l{number // 2 % LOW_WORKSPACES}"
         sent[workspace] = sent.get(workspace, 0) + 1
         ask = online(
             f"{workspace} {number}", 300, "e", 300, 0 if is_urgent else 2
         )
-        record(keeper.ask(ask, now_ms), served, ends, now_ms)
+        record(allocator.ask(ask, now_ms), served, ends, now_ms)
     return served, sent
 
 
 def record(effects, served, ends, now_ms):
     for effect in effects:
-        if effect.verdict is Verdict.GRANTED:
+        if effect.verdict is SlotDecision.GRANTED:
             workspace = effect.attempt_id.split()[0]
             served[workspace] = served.get(workspace, 0) + 1
             ends[effect.attempt_id] = now_ms + HELD_MS
@@ -264,7 +266,7 @@
 
 def test_under_saturation_the_less_urgent_do_not_starve():
     """Guards against starvation of low-priority workspaces."""
-    served, sent = saturate(SlotKeeper(slots=4, hold_ms=HELD_MS))
+    served, sent = saturate(SlotAllocator(slots=4, hold_ms=HELD_MS))
     share = {
         workspace: served[workspace] / sent[workspace] for workspace in sent
     }
--- a/dahliashunt/decisions/wait_estimator.py
+++ b/dahliashunt/decisions/wait_estimator.py
@@ -29,7 +29,7 @@
 _WAIT_QUANTILE = 1.65
 
 
-class Drain:
+class WaitEstimator:
     """Wait estimates from the answer length and the step time.
 
     The mean length is generated tokens over ended answers, including the
@@ -44,11 +44,11 @@
         self._answers = _PRIOR_ANSWERS
         self._reserved_until_ms = 0.0
 
-    def produced(self, tokens: int) -> None:
+    def tokens_generated(self, tokens: int) -> None:
         """Record generated tokens of online answers."""
         self._tokens += tokens
 
-    def answered(self) -> None:
+    def answer_ended(self) -> None:
         """Record the end of an online answer."""
         self._tokens *= _DECAY
         self._answers = self._answers * _DECAY + 1
--- a/dahliashunt/forwarding/attempt.py
+++ b/dahliashunt/forwarding/attempt.py
@@ -216,7 +216,7 @@
         if self._state.started:
             return
         self._state.started = True
-        headers = self._forwarder.dialect.relayed(head)
+        headers = self._forwarder.dialect.relayed_headers(head)
         await self._sink.start(head.status, headers, length)
         waited_ms = self._clock.now_ms() - self._state.call.arrived_ms
         self._state.first_ms = waited_ms
@@ -225,7 +225,7 @@
         )
 
     async def _relay_stream(self, connection, mailbox, head):
-        splitter = EventCutter()
+        splitter = EventSplitter()
         while True:
             events = await self._take_events(mailbox, self._pause_ms())
             if not events:
--- a/dahliashunt/forwarding/events.py
+++ b/dahliashunt/forwarding/events.py
@@ -44,7 +44,7 @@
         return "\n".join(parts)
 
 
-class EventCutter:
+class EventSplitter:
     r"""Buffers bytes and returns complete events.
 
     A replica may stop within an event; the replica that resumes the stream
--- a/dahliashunt/forwarding/explain.py
+++ b/dahliashunt/forwarding/explain.py
@@ -121,7 +121,7 @@
         if not replicas:
             return _ExpectedOutcome("refused: the service has no replica")
         usable = [r for r in replicas if r.state is ReplicaState.USABLE]
-        if not keeps or not usable:
+        if not with_agents or not usable:
             return _ExpectedOutcome(
                 "sent to a replica without asking an agent", 0
             )
@@ -135,7 +135,7 @@
                 f"waits about {wait_ms} ms for a slot", wait_ms
             )
         hold_ms = self._places.hold_ms(service)
-        least, most = (int(hold_ms * turn) for turn in TURNS)
+        least, most = (int(hold_ms * turn) for turn in RETRY_DELAY_HOLDS)
         return _ExpectedOutcome(
             f"refused, with a Retry-After of {least} to {most} ms",
             wait_ms,
--- a/dahliashunt/forwarding/forwarder.py
+++ b/dahliashunt/forwarding/forwarder.py
@@ -53,7 +53,7 @@
 """Attempts that may end as not run before the call is given up."""
 
 
-class AnswerCut(RequestError):
+class ResponseTruncated(RequestError):
     """A response broke off after its start and must not look complete."""
 
 
@@ -104,10 +104,10 @@
         ------
         RequestError
             There is no response; nothing was sent to `sink`.
-        AnswerCut
+        ResponseTruncated
             The response broke off.
         """
-        await _ForwardedCall(self, call, route, keeps, sink).serve()
+        await _ForwardedCall(self, call, route, with_agents, sink).serve()
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,7 +124,7 @@
 class _ForwardedCall:
     """One call over all its attempts."""
 
-    def __init__(self, forwarder, call, route, keeps, sink):
+    def __init__(self, forwarder, call, route, with_agents, sink):
         self._forwarder = forwarder
         self._clock = forwarder.clock
         self._call = call
@@ -161,9 +161,9 @@
     async def _serve(self):
         while True:
             self._refuse_poison()
-            place, self._next_place = self._next_place, None
-            if place is None:
-                place = await self._place()
+            reservation, self._next_place = self._next_place, None
+            if reservation is None:
+                reservation = await self._place()
             self._placed_ms = self._age_ms()
             began_ms = self._clock.now_ms()
             try:
@@ -171,7 +171,9 @@
             finally:
                 reservation.release()
             if end is AttemptEnd.SERVED:
-                self._forwarder.suspicion.served(place.replica.life)
+                self._forwarder.suspicion.served(
+                    reservation.replica.incarnation
+                )
                 self._forwarder.losses.served(self._digest)
                 self._record(
                     "served",
@@ -183,17 +185,17 @@
                     total_ms=self._age_ms(),
                 )
                 return
-            self._record_failure(place.replica, end, began_ms)
+            self._record_failure(reservation.replica, end, began_ms)
             if not self._may_try_again(end):
                 await self._give_up(end)
                 return
 
     def _refuse_poison(self):
         """Refuse a request that was lost with each replica that ran it."""
-        if not self._forwarder.losses.is_convicted(self._digest):
+        if not self._forwarder.losses.is_quarantined(self._digest):
             return
         self._record("convicted", digest=self._digest)
-        kind = AnswerCut if self._state.started else RequestError
+        kind = ResponseTruncated if self._state.started else RequestError
         raise kind(
             ErrorKind.OUTCOME_UNKNOWN,
             "each replica that ran this request was lost",
@@ -222,7 +224,7 @@
             rank=self._rank,
         )
         return await self._forwarder.places.find(
-            want, self._call.request_id, self._keeps
+            requirements, self._call.request_id, self._keeps
         )
 
     def _wait_limits(self):
@@ -254,7 +256,7 @@
 
     async def _attempt(self, replica):
         async def reserve_elsewhere():
-            avoid = {*self._tried, replica.life}
+            avoid = {*self._tried, replica.incarnation}
             try:
                 self._next_place = await self._find(_NO_WAIT, avoid)
             except RequestError:
@@ -271,13 +273,13 @@
         return await attempt.run()
 
     def _record_failure(self, replica, end, began_ms):
-        self._tried.add(replica.life)
+        self._tried.add(replica.incarnation)
         if end is AttemptEnd.LOST:
             request_id = self._call.request_id
             self._forwarder.losses.lost(self._digest, request_id, began_ms)
         if end is not AttemptEnd.TIMED_OUT:
             now_ms = self._clock.now_ms()
-            self._forwarder.suspicion.failed(replica.life, now_ms)
+            self._forwarder.suspicion.failed(replica.incarnation, now_ms)
         self._record(
             "attempt_ended", replica=replica.replica_id, end=end.value
         )
@@ -324,7 +326,7 @@
 
     async def _send_held(self):
         held = self._state.held
-        headers = self._forwarder.dialect.relayed(held.head)
+        headers = self._forwarder.dialect.relayed_headers(held.head)
         await self._sink.start(held.head.status, headers, len(held.body))
         await self._sink.send(held.body)
         await self._sink.end()
--- a/dahliashunt/forwarding/known_replicas.py
+++ b/dahliashunt/forwarding/known_replicas.py
@@ -75,7 +75,7 @@
 
     def incarnations(self) -> set:
         """Return the incarnations of all listed replicas."""
-        return {replica.life for replica in self._book.all()}
+        return {replica.incarnation for replica in self._registry.all()}
 
     def agent(self, replica: Replica) -> tuple[str, int]:
         """Return the address of the replica's agent."""
@@ -87,15 +87,15 @@
 
     def own(self, replica: Replica) -> int:
         """Return the number of this entry's requests at the replica."""
-        return self._own_by_incarnation.get(replica.life, 0)
+        return self._own_by_incarnation.get(replica.incarnation, 0)
 
     def count(self, replica: Replica, by: int) -> None:
         """Add `by` to the number of this entry's requests there."""
         count = self.own(replica) + by
         if count > 0:
-            self._own_by_incarnation[replica.life] = count
+            self._own_by_incarnation[replica.incarnation] = count
         else:
-            self._own_by_incarnation.pop(replica.life, None)
+            self._own_by_incarnation.pop(replica.incarnation, None)
 
     def ordered(self, replicas, affinity: str) -> list[Replica]:
         """Return `replicas`, best first."""
--- a/dahliashunt/forwarding/losses.py
+++ b/dahliashunt/forwarding/losses.py
@@ -76,9 +76,9 @@
         if self._counts.served(digest):
             self._put(digest)
 
-    def is_convicted(self, digest: Fingerprint) -> bool:
+    def is_quarantined(self, digest: Fingerprint) -> bool:
         """Return whether the request must not be sent again."""
-        return self._counts.is_convicted(digest, self._clock.now_ms())
+        return self._counts.is_quarantined(digest, self._clock.now_ms())
 
     def _put(self, digest):
         if not self._queue.full():
--- a/dahliashunt/forwarding/node.py
+++ b/dahliashunt/forwarding/node.py
@@ -52,7 +52,7 @@
         Time at which it came into force here.
     previous_catalog : Catalog or None
         The configuration before it.
-    book : ReplicaBook
+    registry : ReplicaRegistry
     leaving : asyncio.Event
         Set when this node is told to stop.
     """
@@ -192,7 +192,9 @@
         """Whether the configuration in force has workspaces."""
         return self.catalog is not None and self.catalog.workspaces is not None
 
-    def caller_on(self, route: Route, key: str | None) -> Workspace | None:
+    def caller_for_route(
+        self, route: Route, key: str | None
+    ) -> Workspace | None:
         """Return the workspace of a request on `route`, or None.
 
         Raises
@@ -232,18 +234,18 @@
             raise _retry_elsewhere("some workspace's keys can't be read")
         raise RequestError(ErrorKind.UNAUTHENTICATED, "nobody has this key")
 
-    def demand_key(self, workspace: Workspace | None) -> None:
+    def require_key(self, workspace: Workspace | None) -> None:
         """Raise `RequestError` if a key is required and there is none."""
-        if workspace is None and self.asks_for_keys:
+        if workspace is None and self.requires_keys:
             raise RequestError(ErrorKind.UNAUTHENTICATED, "a key is wanted")
 
     def is_stale(self) -> bool:
         """Return whether the last read is older than `STALE_MS`."""
-        heard_ms = self.config_heard()
+        heard_ms = self.config_read_ms()
         now_ms = self.clock.now_ms()
         return heard_ms is None or now_ms - heard_ms > STALE_MS
 
-    def keeps_slots(self, service: str) -> bool:
+    def has_agents(self, service: str) -> bool:
         """Return whether the replicas of `service` have agents."""
         found = self.catalog.service_by_name.get(service)
         return found is not None and found.engine is not None
--- a/dahliashunt/forwarding/ports.py
+++ b/dahliashunt/forwarding/ports.py
@@ -26,11 +26,11 @@
     def is_signed(self, head: ResponseHead) -> bool:
         """Return whether the response has the replica's signature."""
 
-    def relayed(self, head: ResponseHead) -> list[tuple[str, str]]:
+    def relayed_headers(self, head: ResponseHead) -> list[tuple[str, str]]:
         """Return the headers that are relayed to the caller."""
 
 
-class AnswerSink(Protocol):
+class ResponseSink(Protocol):
     """Receives one response for a caller, in order."""
 
     async def start(
--- a/dahliashunt/forwarding/rate_limiter.py
+++ b/dahliashunt/forwarding/rate_limiter.py
@@ -23,7 +23,7 @@
 from dahliashunt.metrics import Metrics
 from dahliashunt.ports import Clock
 
-__all__ = ["Caps", "DecisionCounts", "MeterChoice", "RecentDecisions"]
+__all__ = ["DecisionCounts", "MeterSelector", "RateLimiter", "RecentDecisions"]
 
 TICK_MS = 25
 """Interval at which pending requests and unsent reports are checked."""
@@ -40,7 +40,7 @@
 """Window of the decision counts that operators are shown."""
 
 
-class MeterChoice:
+class MeterSelector:
     """Selects the agents that count a workspace's requests.
 
     Uses rendezvous hashing over the hosts of replicas with agents, so that
@@ -63,7 +63,7 @@
         self._hosts: frozenset[str] = frozenset()
         self._hosts_by_workspace: dict[int, tuple[str, ...]] = {}
 
-    def of_workspace(self, workspace: int) -> tuple[str, ...]:
+    def hosts_for(self, workspace: int) -> tuple[str, ...]:
         """Return the hosts of a workspace's meters, in rendezvous order."""
         self._refresh()
         chosen = self._hosts_by_workspace.get(workspace)
@@ -76,13 +76,13 @@
                 reverse=True,
             )
             chosen = self._hosts_by_workspace[workspace] = tuple(
-                ranked[:METERS]
+                ranked[:METERS_PER_WORKSPACE]
             )
         return chosen
 
     def _refresh(self):
-        services = sorted(filter(self._has_agents, self._book.services()))
-        lists = tuple(self._book.of_service(name) for name in services)
+        services = sorted(filter(self._has_agents, self._registry.services()))
+        lists = tuple(self._registry.of_service(name) for name in services)
         if _all_identical(lists, self._lists):
             return
         self._lists = lists
@@ -155,13 +155,13 @@
     limit: RateLimit
 
 
-class Caps:
+class RateLimiter:
     """Admits requests, or refuses them with a time to retry after.
 
     Parameters
     ----------
     policy : object
-        One of the policies in `CAPS`.
+        One of the policies in `RATE_LIMIT_POLICIES`.
     slots : SlotClient
         Carries reports to the meters and their readings back.
     agent_port : int
@@ -249,7 +249,7 @@
             self._policy.give_back(self._clock.now_ms(), key, limit)
             self._send_reports()
 
-    def view(self, workspace: Workspace) -> UseView:
+    def view(self, workspace: Workspace) -> UsageView:
         """Return the workspace's use as known to this entry."""
         key = _key(workspace.workspace_id)
         return self._policy.view(self._clock.now_ms(), key)
@@ -285,7 +285,7 @@
     def _send_reports(self):
         for host, report in self._policy.outbox():
             self._slots.tell_use((host, self._agent_port), report)
-        if self._policy.is_waiting:
+        if self._policy.needs_tick:
             self._work_ready.set()
 
     async def run(self) -> None:
@@ -293,7 +293,7 @@
         while True:
             await self._work_ready.wait()
             self._work_ready.clear()
-            while self._policy.is_waiting:
+            while self._policy.needs_tick:
                 await self._clock.sleep_ms(TICK_MS)
                 self._settle(self._policy.tick(self._clock.now_ms()))
                 self._send_reports()
--- a/dahliashunt/forwarding/replica_selector.py
+++ b/dahliashunt/forwarding/replica_selector.py
@@ -12,11 +12,10 @@
 from dahliashunt.decisions.suspicion import Suspicion
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import RequestError
-from dahliashunt.forwarding.asking import SlotRequester
 from dahliashunt.forwarding.known_replicas import KnownReplicas
 from dahliashunt.forwarding.reservation import Reservation
 from dahliashunt.forwarding.reservation import SlotRequirements
-from dahliashunt.forwarding.slot_requests import Asker
+from dahliashunt.forwarding.slot_requests import SlotRequester
 from dahliashunt.ports import Clock
 
 __all__ = ["ReplicaSelector"]
@@ -41,7 +40,7 @@
 as having none; longer than agents need to start."""
 
 
-class Places:
+class ReplicaSelector:
     """Selects replicas and requests slots from their agents.
 
     Parameters
@@ -71,15 +70,20 @@
         self._started_ms = clock.now_ms()
         self._renewed: set[tuple[str, int]] = set()
 
-    async def find(self, want: Want, request_id: str, keeps: bool) -> Place:
-        """Reserve a replica for `want`.
+    async def find(
+        self,
+        requirements: SlotRequirements,
+        request_id: str,
+        with_agents: bool,
+    ) -> Reservation:
+        """Reserve a replica for `requirements`.
 
         Parameters
         ----------
         requirements : SlotRequirements
         request_id : str
             Id under which the replica lists the request.
-        keeps : bool
+        with_agents : bool
             Whether the service's replicas have agents.
 
         Raises
@@ -92,19 +96,19 @@
         if not with_agents:
             return self._direct(ordered[0])
         if self._has_no_agents(replicas):
-            return self._direct_within_slots(ordered, want)
-        chosen = self._with_outsiders(ordered, want)
+            return self._direct_within_slots(ordered, requirements)
+        chosen = self._with_outsiders(ordered, requirements)
         replies = await self._slot_requester.request_slot(
-            chosen, want, request_id
+            chosen, requirements, request_id
         )
         now_ms = self._clock.now_ms()
         for replica in replies.absent:
-            self._suspicion.failed(replica.life, now_ms)
+            self._suspicion.failed(replica.incarnation, now_ms)
         if replies.granted is not None:
             return self._granted(replies.granted, replies.attempt)
-        return await self._fall_back(replies, want, request_id)
+        return await self._fall_back(replies, requirements, request_id)
 
-    def _untried(self, want):
+    def _untried(self, requirements):
         """Return the untried partners, or the other untried replicas."""
         for listed in (
             self._known.partners(requirements.service),
@@ -123,10 +127,10 @@
             retry_after_ms=NO_REPLICA_RETRY_MS,
         )
 
-    def _with_outsiders(self, ordered, want):
+    def _with_outsiders(self, ordered, requirements):
         """Return the best partners, followed by some other replicas."""
-        listed = self._known.listed(want.service)
-        partners = self._known.partners(want.service)
+        listed = self._known.listed(requirements.service)
+        partners = self._known.partners(requirements.service)
         if len(listed) <= len(partners):
             return ordered[:MAX_ASKED]
         ids = {replica.replica_id for replica in partners}
@@ -143,14 +147,14 @@
             self._known.load(replica) for replica in replicas
         )
 
-    def _direct_within_slots(self, ordered, want):
+    def _direct_within_slots(self, ordered, requirements):
         """Reserve the first replica with fewer own requests than slots.
 
         Batch items use half of the slots, since they can't be revoked.
         """
         for replica in ordered:
             limit = replica.slots
-            if want.use is Use.BATCH:
+            if requirements.use is Use.BATCH:
                 limit = max(1, limit // 2)
             if self._known.own(replica) < limit:
                 return self._direct(replica)
@@ -160,12 +164,12 @@
             retry_after_ms=self._retry_delay_ms(requirements.service, 0),
         )
 
-    async def _fall_back(self, replies, want, request_id):
+    async def _fall_back(self, replies, requirements, request_id):
         """Reserve a replica whose agent is silent, or wait for a slot."""
         full = replies.full
         for replica in replies.unanswered:
             limit = max(1, replica.slots // DIRECT_SLOT_DIVISOR)
-            if want.use is Use.BATCH:
+            if requirements.use is Use.BATCH:
                 # A batch item there could not be revoked.
                 limit = 0 if full else 1
             if self._known.own(replica) < limit:
@@ -173,7 +177,7 @@
         full.sort(key=self._expected_wait_ms)
         if full and requirements.wait_ms > 0:
             replica = full[0]
-            attempt = self._slot_requester.attempt(want, request_id)
+            attempt = self._slot_requester.attempt(requirements, request_id)
             verdict = await self._slots.ask(
                 attempt, self._known.agent(replica), requirements.wait_ms
             )
@@ -220,7 +224,7 @@
         """Return the mean time that online requests hold a slot here."""
         return self._holds.mean_ms(service)
 
-    async def keep_states(self, every_ms: int) -> None:
+    async def refresh_states(self, every_ms: int) -> None:
         """Renew slots and update loads until cancelled."""
         renewed_ms = -every_ms
         while True:
--- a/dahliashunt/forwarding/replicas.py
+++ b/dahliashunt/forwarding/replicas.py
@@ -6,7 +6,7 @@
 
 __all__ = ["Replica", "ReplicaRegistry"]
 
-AFTER_OUTAGE_MS = 2_200
+OUTAGE_GRACE_MS = 2_200
 """Time after an outage of the list during which lapsed rows stay usable;
 live replicas renew theirs within it."""
 
@@ -47,15 +47,15 @@
         return (self.host, self.port)
 
     @property
-    def life(self) -> tuple[str, int]:
+    def incarnation(self) -> tuple[str, int]:
         """Id and start time, which identify this incarnation."""
         return (self.replica_id, self.born_ms)
 
 
-class ReplicaBook:
+class ReplicaRegistry:
     """Replicas by id, address and service.
 
-    Rows that lapse in an outage of the list are kept for `AFTER_OUTAGE_MS`:
+    Rows that lapse in an outage of the list are kept for `OUTAGE_GRACE_MS`:
     the first list after an outage may be nearly empty although the replicas
     are alive.
     """
--- a/dahliashunt/forwarding/reservation.py
+++ b/dahliashunt/forwarding/reservation.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class SlotRequirements:
     """Requirements of a reservation.
 
     Attributes
@@ -41,7 +41,7 @@
     rank: int = 0
 
 
-class Place:
+class Reservation:
     """A replica to send to and the slot held there until `release`."""
 
     __slots__ = ("_release", "attempt_id", "replica")
--- a/dahliashunt/forwarding/slot_requests.py
+++ b/dahliashunt/forwarding/slot_requests.py
@@ -52,9 +52,9 @@
         self._agent_of = agent_of
         self._numbers = itertools.count(1)
 
-    def attempt(self, want, run_id: str) -> Attempt:
+    def attempt(self, requirements, run_id: str) -> SlotAttempt:
         """Return a new slot attempt for the request `run_id`."""
-        return Attempt(
+        return SlotAttempt(
             attempt_id=f"{run_id}#{next(self._numbers)}",
             run_id=run_id,
             use=requirements.use,
@@ -63,7 +63,9 @@
             on_revoke=requirements.on_revoke,
         )
 
-    async def request_slot(self, replicas, want, run_id: str) -> SlotReplies:
+    async def request_slot(
+        self, replicas, requirements, run_id: str
+    ) -> SlotReplies:
         """Request a slot that is free now from the agents of `replicas`.
 
         The first grant is used. Slots that other agents grant are released;
@@ -98,15 +100,15 @@
         )
         for task in done:
             verdict = task.result()
-            if verdict is Verdict.GRANTED and replies.granted is not None:
+            if verdict is SlotDecision.GRANTED and replies.granted is not None:
                 # A second grant stays in `pending` and is released.
                 continue
             replica, attempt = pending.pop(task)
-            if verdict is Verdict.GRANTED:
+            if verdict is SlotDecision.GRANTED:
                 replies.granted, replies.attempt = replica, attempt
-            elif verdict is Verdict.FULL:
+            elif verdict is SlotDecision.FULL:
                 replies.full.append(replica)
-            elif verdict is Verdict.AWAY:
+            elif verdict is SlotDecision.AWAY:
                 replies.absent.append(replica)
             else:
                 replies.unanswered.append(replica)
--- a/dahliashunt/forwarding/tests/test_node.py
+++ b/dahliashunt/forwarding/tests/test_node.py
@@ -61,7 +61,7 @@
 
 def test_retry_after_grows_with_the_outage(node, clock):
     # Guards against callers that use up their retries in an outage.
-    least_ms, most_ms = OUTAGE_MS
+    least_ms, most_ms = OUTAGE_RETRY_BOUNDS_MS
     assert retry_ms(node) == least_ms
     asyncio.run(clock.advance(1_000))
     assert least_ms < retry_ms(node) < most_ms
--- a/dahliashunt/forwarding/tests/test_replica_selector.py
+++ b/dahliashunt/forwarding/tests/test_replica_selector.py
@@ -15,11 +15,10 @@
 from dahliashunt.errors import RequestError
 from dahliashunt.forwarding.known_replicas import KnownReplicas
 from dahliashunt.forwarding.partners import Partners
-from dahliashunt.forwarding.place import Want
-from dahliashunt.forwarding.placing import DIRECT_SLOT_DIVISOR
-from dahliashunt.forwarding.placing import MAX_ASKED
-from dahliashunt.forwarding.placing import NO_AGENTS_MS
-from dahliashunt.forwarding.placing import Places
+from dahliashunt.forwarding.replica_selector import DIRECT_SLOT_DIVISOR
+from dahliashunt.forwarding.replica_selector import MAX_ASKED
+from dahliashunt.forwarding.replica_selector import NO_AGENTS_MS
+from dahliashunt.forwarding.replica_selector import ReplicaSelector
 from dahliashunt.forwarding.replicas import Replica
 from dahliashunt.forwarding.replicas import ReplicaRegistry
 from dahliashunt.forwarding.reservation import SlotRequirements
@@ -142,7 +141,7 @@
 
 
 def test_batch_is_not_sent_directly_while_an_agent_is_full(places, slots):
-    slots.verdict_by_host = {"a": Verdict.FULL}
+    slots.verdict_by_host = {"a": SlotDecision.FULL}
     with pytest.raises(RequestError):
         find(places, use=Use.BATCH)
 
@@ -152,8 +151,8 @@
     slots.hanging = {"a"}
     slots.verdict_by_host = {"b": SlotDecision.GRANTED}
     for _ in range(4):
-        place = find(places)
-        assert place.replica.replica_id == "b"
+        reservation = find(places)
+        assert reservation.replica.replica_id == "b"
     # A slot that a hanging agent may grant later is released.
     asked_a = sum(host == "a" for host, _ in slots.asked)
     assert len(slots.released) == asked_a
@@ -161,7 +160,10 @@
 
 def test_only_one_of_two_grants_is_kept(places, slots):
     # Guards against a leaked slot when two agents grant at the same time.
-    slots.verdict_by_host = {"a": Verdict.GRANTED, "b": Verdict.GRANTED}
+    slots.verdict_by_host = {
+        "a": SlotDecision.GRANTED,
+        "b": SlotDecision.GRANTED,
+    }
     places_found = [find(places) for _ in range(10)]
     assert len(slots.asked) == len(places_found) + len(slots.released)
 
@@ -172,47 +174,49 @@
     assert slots.asked == []
 
 
-REPLICA_IDS = [f"r{n}" for n in range(5 * MOST_PARTNERS)]
+REPLICA_IDS = [f"r{n}" for n in range(5 * MAX_PARTNERS)]
 
 
 @pytest.fixture
 def large_places(slots, clock):
     """Return places for a service larger than the number of partners."""
-    book = ReplicaBook()
+    registry = ReplicaRegistry()
     for name in REPLICA_IDS:
-        book.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
-    return make_places(book, slots, clock)
+        registry.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
+    return make_places(registry, slots, clock)
 
 
 def test_a_full_large_service_is_asked_beyond_the_partners(
     large_places, slots
 ):
     # Guards against refusals while replicas beyond the partners are free.
-    slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, Verdict.FULL)
+    slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, SlotDecision.FULL)
     for _ in range(60):
         with pytest.raises(RequestError):
             find(large_places)
-    assert len({host for host, _ in slots.asked}) > 3 * MOST_PARTNERS
-    assert len(slots.asked) <= 60 * (MAX_ASKED + OUTSIDERS)
+    assert len({host for host, _ in slots.asked}) > 3 * MAX_PARTNERS
+    assert len(slots.asked) <= 60 * (MAX_ASKED + NON_PARTNER_SAMPLES)
 
 
 def test_only_partners_are_asked_while_they_have_room(large_places, slots):
-    slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, Verdict.GRANTED)
+    slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, SlotDecision.GRANTED)
     for _ in range(200):
         find(large_places).release()
-    assert len({host for host, _ in slots.asked}) <= MOST_PARTNERS
+    assert len({host for host, _ in slots.asked}) <= MAX_PARTNERS
 
 
 def test_others_are_used_when_every_partner_was_tried(
     large_places, slots, clock
 ):
-    slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, Verdict.GRANTED)
-    book = ReplicaBook()
+    slots.verdict_by_host = dict.fromkeys(REPLICA_IDS, SlotDecision.GRANTED)
+    registry = ReplicaRegistry()
     for name in REPLICA_IDS:
-        book.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
-    partners = Partners(book, "entry-1").of_service("s")
-    place = find(large_places, avoid=[replica.life for replica in partners])
-    assert place.replica not in partners
+        registry.put(Replica(name, 0, "s", name, 1, "d", SLOTS, False), 1, 0)
+    partners = Partners(registry, "entry-1").of_service("s")
+    reservation = find(
+        large_places, avoid=[replica.incarnation for replica in partners]
+    )
+    assert reservation.replica not in partners
 
 
 def test_renewals_are_bounded_by_the_partners(large_places, slots):
@@ -221,9 +225,9 @@
     slots.forget_but = lambda addresses: None
 
     async def renew_once():
-        loop = asyncio.create_task(large_places.keep_states(1))
+        loop = asyncio.create_task(large_places.refresh_states(1))
         await asyncio.sleep(0)
         loop.cancel()
 
     asyncio.run(renew_once())
-    assert len(renewed[0]) == MOST_PARTNERS
+    assert len(renewed[0]) == MAX_PARTNERS
--- a/dahliashunt/forwarding/tests/test_replicas.py
+++ b/dahliashunt/forwarding/tests/test_replicas.py
@@ -38,32 +38,32 @@
     assert names(registry) == ["b"]
 
 
-def test_a_removed_replica_is_dropped_at_once_without_an_outage(book):
-    book.remove("a", 1_000)
-    assert names(book) == ["b"]
+def test_a_removed_replica_is_dropped_at_once_without_an_outage(registry):
+    registry.remove("a", 1_000)
+    assert names(registry) == ["b"]
 
 
-def test_lapsed_entries_stay_for_a_while_after_an_outage(book):
+def test_lapsed_entries_stay_for_a_while_after_an_outage(registry):
     # Guards against an empty list after an outage while replicas are alive.
-    book.outage_ended(1_000)
-    book.replace_all([], 1_000)
-    assert names(book) == ["a", "b"]
-    book.put(replica("a", 0), 2, 0)
-    book.expire(1_000 + AFTER_OUTAGE_MS)
-    assert names(book) == ["a"]
+    registry.outage_ended(1_000)
+    registry.replace_all([], 1_000)
+    assert names(registry) == ["a", "b"]
+    registry.put(replica("a", 0), 2, 0)
+    registry.expire(1_000 + OUTAGE_GRACE_MS)
+    assert names(registry) == ["a"]
 
 
-def test_a_new_replica_replaces_the_one_at_its_address(book):
+def test_a_new_replica_replaces_the_one_at_its_address(registry):
     # Guards against requests for a replica whose address another one reuses.
-    book.put(replica("c", 0), 2, 0)
-    assert names(book) == ["b", "c"]
+    registry.put(replica("c", 0), 2, 0)
+    assert names(registry) == ["b", "c"]
 
 
 @pytest.mark.parametrize("new", ["0-new", "z-new"])
 def test_the_latest_written_row_of_an_address_is_used(new):
     # Guards against choosing the last-read row instead of the latest-written
     # one at an address, with the list ordered by id.
-    book = ReplicaBook()
+    registry = ReplicaRegistry()
     listed = [(replica(new, 0), 9), (replica("m", 0), 3)]
     registry.replace_all(sorted(listed, key=lambda one: one[0].replica_id), 0)
     assert names(registry) == [new]
@@ -71,23 +71,23 @@
     assert names(registry) == [new]
 
 
-def test_the_earlier_row_is_used_again_when_the_later_is_removed(book):
-    book.put(replica("c", 0), 2, 0)
-    book.remove("c", 0)
-    assert names(book) == ["a", "b"]
+def test_the_earlier_row_is_used_again_when_the_later_is_removed(registry):
+    registry.put(replica("c", 0), 2, 0)
+    registry.remove("c", 0)
+    assert names(registry) == ["a", "b"]
 
 
-def test_a_restart_under_the_same_name_is_a_new_incarnation(book):
-    before = book.get("a").life
-    book.put(replica("a", 0, born_ms=5), 2, 0)
-    assert book.get("a").life != before
+def test_a_restart_under_the_same_name_is_a_new_incarnation(registry):
+    before = registry.get("a").incarnation
+    registry.put(replica("a", 0, born_ms=5), 2, 0)
+    assert registry.get("a").incarnation != before
 
 
-def test_a_replica_warms_up_between_two_writes_of_the_list(book):
+def test_a_replica_warms_up_between_two_writes_of_the_list(registry):
     # Guards against a replica that stays cold until its row is rewritten.
-    book.put(replica("a", 0, warm_in_ms=3_000), 2, 1_000)
-    assert book.is_cold(book.get("a"), 3_999)
-    assert not book.is_cold(book.get("a"), 4_000)
-    assert not book.is_cold(book.get("b"), 1_000)
-    book.put(replica("a", 0), 3, 2_000)
-    assert not book.is_cold(book.get("a"), 2_000)
+    registry.put(replica("a", 0, warm_in_ms=3_000), 2, 1_000)
+    assert registry.is_cold(registry.get("a"), 3_999)
+    assert not registry.is_cold(registry.get("a"), 4_000)
+    assert not registry.is_cold(registry.get("b"), 1_000)
+    registry.put(replica("a", 0), 3, 2_000)
+    assert not registry.is_cold(registry.get("a"), 2_000)
--- a/dahliashunt/forwarding/workspaces.py
+++ b/dahliashunt/forwarding/workspaces.py
@@ -97,7 +97,7 @@
             for digest in each.digests:
                 self._by_digest[digest] = each
 
-    def of_key(self, key: str) -> Workspace | BrokenWorkspace | None:
+    def find_by_key(self, key: str) -> Workspace | BrokenWorkspace | None:
         """Return the workspace of `key`, or None."""
         return self._by_digest.get(key_digest(key))
 
