--- a/dahliashunt/jobs/__init__.py
+++ b/dahliashunt/jobs/__init__.py
@@ -23,7 +23,7 @@
 from dahliashunt.jobs.model import Item
 from dahliashunt.jobs.model import Job
 from dahliashunt.jobs.model import JobState
-from dahliashunt.jobs.model import Listed
+from dahliashunt.jobs.model import ListedResult
 from dahliashunt.jobs.model import Outcome
 from dahliashunt.jobs.model import Owner
 from dahliashunt.jobs.model import Progress
@@ -35,7 +35,7 @@
     "JobLedger",
     "JobState",
     "JobView",
-    "Listed",
+    "ListedResult",
     "Outcome",
     "Owner",
     "Progress",
--- a/dahliashunt/jobs/beats.py
+++ b/dahliashunt/jobs/beats.py
@@ -19,29 +19,29 @@
 from dahliashunt.ports.table import MustBe
 from dahliashunt.ports.table import Write
 
-__all__ = ["BEAT_MS", "BeatReader", "BeatWriter", "period_ms"]
+__all__ = ["HEARTBEAT_MS", "BeatReader", "BeatWriter", "period_ms"]
 
-BEAT_MS = 1_000
+HEARTBEAT_MS = 1_000
 """Between renewals. A job's results are due in some 18 s, of which finding
 a dead owner takes the term."""
 
-TERM_MS = 3_500
+SILENCE_TIMEOUT_MS = 3_500
 """Unchanged for so long, an owner is gone: three renewals were missed."""
 
-MS_A_NODE = 15
+MS_PER_OWNER = 15
 """Lengthens the period with the number of owners, so that their renewals
 together stay under 70 writes a second, of the 150 that a part takes, and
 the reads of all nodes under a fixed number of rows a second."""
 
-MOST_ROWS = 2_000
+MAX_ROWS = 2_000
 
-NO_BOOT = ""
+NO_INCARNATION = ""
 """Stands in the row of a node that has left: no life of it owns jobs."""
 
 
 def period_ms(owners: int) -> int:
     """Return the time between renewals with so many owners."""
-    return max(BEAT_MS, owners * MS_A_NODE)
+    return max(HEARTBEAT_MS, owners * MS_PER_OWNER)
 
 
 def _key(node_id):
@@ -58,25 +58,25 @@
         self._count = 0
         self._version = None
 
-    async def beat(self) -> bool:
+    async def renew_row(self) -> bool:
         """Renew once; return whether the table took it."""
-        return await self._write(self._owner.boot)
+        return await self._write(self._owner.incarnation)
 
     async def leave(self) -> bool:
         """End this life for everybody; return whether the table took it.
 
         To be called once nothing runs here any more.
         """
-        return await self._write(NO_BOOT)
+        return await self._write(NO_INCARNATION)
 
-    async def _write(self, boot):
+    async def _write(self, incarnation):
         key = _key(self._owner.node_id)
         try:
             if self._version is None:
                 row = await self._table.read(key)
                 self._version = row.version if row else MustBe.ABSENT
             self._count += 1
-            value = json.dumps([boot, self._count])
+            value = json.dumps([incarnation, self._count])
             write = Write(key, value, self._version)
             (self._version,) = await self._table.transact((write,))
         except (
@@ -91,7 +91,7 @@
 
 
 @dataclass(slots=True)
-class _Seen:
+class _Observation:
     value: str
     since_ms: int
 
@@ -104,12 +104,12 @@
         self._own = own
         self._clock = clock
         self._log = log
-        self._seen_by_node: dict[NodeId, _Seen] = {}
-        self._watched_ms_by_owner: dict[Owner, int] = {}
-        self._regained = True
+        self._observation_by_node: dict[NodeId, _Observation] = {}
+        self._watched_since_ms_by_owner: dict[Owner, int] = {}
+        self._restart_timeouts = True
         self.owners = 0
 
-    async def look(self, owners) -> None:
+    async def poll(self, owners) -> None:
         """Read all rows once; `owners` are those of open jobs.
 
         An owner's term starts when it is first seen to own a job: its row
@@ -118,41 +118,43 @@
         """
         try:
             rows = await self._table.read_range(
-                "beats//", "beats//~", MOST_ROWS
+                "beats//", "beats//~", MAX_ROWS
             )
         except PlatformUnavailable as error:
-            self._log.warning("heartbeat_read_failed", reason=str(error))
-            self._regained = True
+            self._log.warning("beats_unread", reason=str(error))
+            self._restart_timeouts = True
             return
         now_ms = self._clock.now_ms()
-        if self._regained:
+        if self._restart_timeouts:
             # Owners could not renew either: every term starts again.
-            self._watched_ms_by_owner.clear()
-            self._regained = False
-        watched = self._watched_ms_by_owner
-        self._watched_ms_by_owner = {
+            self._watched_since_ms_by_owner.clear()
+            self._restart_timeouts = False
+        watched = self._watched_since_ms_by_owner
+        self._watched_since_ms_by_owner = {
             owner: watched.get(owner, now_ms) for owner in owners
         }
         for row in rows:
-            self._see(NodeId(row.key.removeprefix("beats//")), row, now_ms)
+            self._observe(NodeId(row.key.removeprefix("beats//")), row, now_ms)
         self.owners = len(rows)
 
-    def _see(self, node_id, row, now_ms):
-        seen = self._seen_by_node.get(node_id)
+    def _observe(self, node_id, row, now_ms):
+        seen = self._observation_by_node.get(node_id)
         if seen is None or seen.value != row.value:
-            self._seen_by_node[node_id] = _Seen(row.value, now_ms)
+            self._observation_by_node[node_id] = _Observation(
+                row.value, now_ms
+            )
 
     def is_gone(self, owner: Owner) -> bool:
         """Tell whether that life of the node has surely ended."""
         if owner.node_id == self._own.node_id and owner != self._own:
             return True
-        since_ms = self._watched_ms_by_owner.get(owner)
-        if since_ms is None or self._regained:
+        since_ms = self._watched_since_ms_by_owner.get(owner)
+        if since_ms is None or self._restart_timeouts:
             return False
-        seen = self._seen_by_node.get(owner.node_id)
+        seen = self._observation_by_node.get(owner.node_id)
         if seen is not None:
-            if json.loads(seen.value)[0] != owner.boot:
+            if json.loads(seen.value)[0] != owner.incarnation:
                 return True
             since_ms = max(since_ms, seen.since_ms)
-        term_ms = TERM_MS * period_ms(self.owners) // BEAT_MS
+        term_ms = SILENCE_TIMEOUT_MS * period_ms(self.owners) // HEARTBEAT_MS
         return self._clock.now_ms() - since_ms > term_ms
--- a/dahliashunt/jobs/checkpoints.py
+++ b/dahliashunt/jobs/checkpoints.py
@@ -7,11 +7,11 @@
 
 __all__ = ["Checkpoints"]
 
-SAVE_MS = 1_000
+SAVE_PERIOD_MS = 1_000
 """Between saves: what a node's loss costs an item at the most, a fifth of
 its run, besides its prompt."""
 
-LEAST_EVENTS = 10
+MIN_EVENTS = 10
 """New events that are worth a row: a third of a second of a run."""
 
 
@@ -35,10 +35,10 @@
     async def run(self) -> None:
         """Save for ever."""
         while True:
-            await self._clock.sleep_ms(SAVE_MS)
-            await self.save(LEAST_EVENTS)
+            await self._clock.sleep_ms(SAVE_PERIOD_MS)
+            await self.save(MIN_EVENTS)
 
-    async def save(self, least_events: int = 1) -> bool:
+    async def save(self, min_events: int = 1) -> bool:
         """Save the items that have made so many events since the last.
 
         Returns
@@ -49,7 +49,7 @@
         items_by_name = {
             (job_id, item.index): item
             for job_id, item in self._worker.unfinished()
-            if item.last_event - item.saved_event >= least_events
+            if item.last_event - item.saved_event >= min_events
         }
         made = [
             item.partial(job_id) for (job_id, _), item in items_by_name.items()
--- a/dahliashunt/jobs/expiry.py
+++ b/dahliashunt/jobs/expiry.py
@@ -20,10 +20,10 @@
 
 __all__ = ["Expiry"]
 
-LOOK_MS = (10_000, 20_000)
+SWEEP_PERIOD_MS = (10_000, 20_000)
 """Between looks, drawn anew each time so that nodes do not look together."""
 
-MOST_AT_ONCE = 8
+MAX_REMOVALS = 8
 """Jobs removed in one look, so that it never crowds out a job's listing:
 with one owner that is 23,000 jobs a day at the slowest pace."""
 
@@ -65,7 +65,7 @@
     async def run(self) -> None:
         """Look for expired jobs, for ever."""
         while True:
-            await self._clock.sleep_ms(self._rng.randint(*LOOK_MS))
+            await self._clock.sleep_ms(self._rng.randint(*SWEEP_PERIOD_MS))
             await self.look(self._store_now_ms())
 
     async def look(self, store_now_ms: int) -> None:
@@ -76,7 +76,7 @@
             if self._is_expired(job, store_now_ms)
         ]
         self._rng.shuffle(expired)
-        for job in expired[:MOST_AT_ONCE]:
+        for job in expired[:MAX_REMOVALS]:
             try:
                 await self._ledger.remove(job)
             except (
--- a/dahliashunt/jobs/item_run.py
+++ b/dahliashunt/jobs/item_run.py
@@ -22,7 +22,7 @@
 every few milliseconds, ten times as slowly at a slowed replica; what was
 made is kept, so that leaving costs a prompt's reading only."""
 
-CRASHES = 3
+CRASH_LOSSES = 3
 """Losses in a row without an event after which an item is suspected to
 crash its replicas, and waits `CRASHED_WAIT_MS` before each further try."""
 
@@ -34,7 +34,7 @@
 """Before an item that a replica refused is tried again. Without it one
 item and a replica that was replaced made 250 attempts a second."""
 
-IDLE_MS = 3_000
+MAX_IDLE_MS = 3_000
 """Idle time of a connection that an item may take."""
 
 
@@ -134,9 +134,9 @@
         """Run the item at `reservation`, from its last event on."""
         address = reservation.replica.address
         try:
-            connection = await pool.take(address, IDLE_MS)
+            connection = await pool.take(address, MAX_IDLE_MS)
         except ConnectFailed:
-            return self._ended(ItemEnd.NOT_RUN, clock)
+            return self._record_end(ItemEnd.NOT_RUN, clock)
         if self._revoked:
             self._revoked = False
             pool.give_back(address, connection)
@@ -145,7 +145,7 @@
         request = dialect.request(
             self.call, reservation.replica, left_ms, self.last_event
         )
-        box = connection.start(
+        mailbox = connection.start(
             request, lambda head: dialect.answers(self.call, head)
         )
         self._connection = connection
@@ -154,16 +154,16 @@
             self.started_ms = began_ms
         end = ItemEnd.LOST
         try:
-            end = await self._relay(connection, box, dialect)
+            end = await self._relay(connection, mailbox, dialect)
         finally:
             self._connection = None
             self.ran_ms += clock.now_ms() - began_ms
             if end in (ItemEnd.LOST, ItemEnd.REVOKED):
                 connection.abort()
             pool.give_back(address, connection)
-        return self._ended(end, clock)
+        return self._record_end(end, clock)
 
-    def _ended(self, end, clock):
+    def _record_end(self, end, clock):
         if self._revoked:
             self._revoked = False
             if end is ItemEnd.LOST:
@@ -175,33 +175,33 @@
             self.not_before_ms = clock.now_ms() + REFUSED_WAIT_MS
         if end is ItemEnd.LOST:
             self._losses += 1
-            if self._losses >= CRASHES:
+            if self._losses >= CRASH_LOSSES:
                 self.not_before_ms = clock.now_ms() + CRASHED_WAIT_MS
         return end
 
-    async def _relay(self, connection, box, dialect):
+    async def _relay(self, connection, mailbox, dialect):
         head = None
-        cutter = EventSplitter()
+        splitter = EventSplitter()
         while True:
-            events = await box.take(SILENCE_MS)
+            events = await mailbox.take(SILENCE_MS)
             if not events:
                 return ItemEnd.LOST
             for event in events:
                 if isinstance(event, ResponseHead):
                     head = event
                 elif isinstance(event, End):
-                    return self._judge(event, head, cutter, dialect)
+                    return self._classify_end(event, head, splitter, dialect)
                 else:
                     connection.taken(len(event))
-                    if 200 <= head.status < 300 and not self._keep(
-                        cutter, event
+                    if 200 <= head.status < 300 and not self._append_events(
+                        splitter, event
                     ):
                         return ItemEnd.LOST
 
-    def _keep(self, cutter, data):
+    def _append_events(self, splitter, data):
         """Keep the text of whole events; False if they do not follow."""
         try:
-            for event in cutter.feed(data):
+            for event in splitter.feed(data):
                 if event.number is None:
                     continue
                 if event.number != self.last_event + 1:
@@ -213,7 +213,7 @@
             return False
         return True
 
-    def _judge(self, end, head, cutter, dialect):
+    def _classify_end(self, end, head, splitter, dialect):
         if end is End.UNSENT:
             return ItemEnd.NOT_RUN
         if end is End.BROKEN or head is None:
@@ -224,6 +224,6 @@
             return ItemEnd.IMPOSSIBLE
         if head.status >= 300:
             return ItemEnd.FAILED
-        if cutter.rest or not dialect.is_signed(head):
+        if splitter.rest or not dialect.is_signed(head):
             return ItemEnd.LOST
         return ItemEnd.DONE
--- a/dahliashunt/jobs/job_run.py
+++ b/dahliashunt/jobs/job_run.py
@@ -43,16 +43,16 @@
         self._tasks = set()
         self._finished: list[Finished] = []
         self._unfinished_by_index: dict[int, ItemRun] = {}
-        self._more = asyncio.Event()
+        self._changed = asyncio.Event()
         self.spawn(self._run())
 
     def spawn(self, work) -> None:
         """Run `work` as a task of this job."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_ended)
 
-    def _ended(self, task):
+    def _task_ended(self, task):
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self._worker.log.error(
@@ -90,7 +90,7 @@
         """Tell whether `item` needs no run any more."""
         return item.index in self._listed
 
-    def look(self) -> None:
+    def stop_listed_items(self) -> None:
         """Stop the runs of items that a former owner has listed."""
         listed = self._worker.view.progress(self.job).indices
         if listed == self._listed:
@@ -99,7 +99,7 @@
         for index, item in self.item_by_index.items():
             if index in listed:
                 item.revoke()
-        self._more.set()
+        self._changed.set()
 
     def finish(self, item: ItemRun, outcome: Outcome, reason: str) -> None:
         """Take an item's outcome; it is listed as soon as possible."""
@@ -115,7 +115,7 @@
         self._unfinished_by_index.pop(item.index, None)
         saved = item.saved_event > 0
         self._finished.append(Finished(item.index, outcome, text, saved))
-        self._more.set()
+        self._changed.set()
 
     async def _run(self):
         worker = self._worker
@@ -180,8 +180,8 @@
         worker = self._worker
         total = len(self.job.items)
         while len(worker.view.progress(self.job).listed) < total:
-            await self._more.wait()
-            self._more.clear()
+            await self._changed.wait()
+            self._changed.clear()
             while self._finished:
                 await self._list_some()
         worker.log.info("job_listed", job_id=self.job.job_id, items=total)
@@ -193,8 +193,8 @@
         try:
             await worker.ledger.list_results(self.job, batch)
         except OwnershipLost:
-            worker.log.warning("job_ownership_lost", job_id=self.job.job_id)
-            worker.retire(self.job.job_id)
+            worker.log.warning("job_lost", job_id=self.job.job_id)
+            worker.release_job(self.job.job_id)
             return
         except PlatformUnavailable as error:
             worker.log.warning(
--- a/dahliashunt/jobs/ledger.py
+++ b/dahliashunt/jobs/ledger.py
@@ -24,7 +24,7 @@
 from dahliashunt.jobs.model import encode_progress
 from dahliashunt.jobs.model import Job
 from dahliashunt.jobs.model import JobState
-from dahliashunt.jobs.model import Listed
+from dahliashunt.jobs.model import ListedResult
 from dahliashunt.jobs.model import Outcome
 from dahliashunt.jobs.model import Owner
 from dahliashunt.jobs.model import Progress
@@ -47,7 +47,7 @@
 """Text of one read of results, and of one listing: with its escapes well
 under the 1 MB that an answer or a transaction takes."""
 
-MOST_REMOVED = 90
+MAX_DELETES = 90
 """Rows removed in one transaction; the store takes a hundred."""
 
 QUOTA_RETRY_MS = 1_000
@@ -116,7 +116,7 @@
 
     # Acceptance.
 
-    async def accept(self, job: Job, payload: bytes, most_tokens: int) -> bool:
+    async def accept(self, job: Job, payload: bytes, max_tokens: int) -> bool:
         """Accept `job` for good, or raise; a repeat succeeds again.
 
         Returns
@@ -136,24 +136,24 @@
             await self._objects.put(job.payload, payload)
         except (PlatformUnavailable, WriteOutcomeUnknown) as error:
             # Without a job row the object is never read.
-            raise _store_away(error, Ran.NO) from None
+            raise _store_unavailable(error, Ran.NO) from None
         for _ in range(CONFLICT_TRIES):
-            if await self._try_accept(job, most_tokens):
+            if await self._try_accept(job, max_tokens):
                 return True
         raise RequestError(ErrorKind.OVERLOADED, "too many jobs come at once")
 
-    async def _try_accept(self, job, most_tokens):
+    async def _try_accept(self, job, max_tokens):
         quota = await self._read(_quota_key(job), Ran.NO)
         held = json.loads(quota.value)["tokens"] if quota else 0
         waiting = held - self._view.finished_tokens(job.route, job.workspace)
-        if most_tokens and max(0, waiting) + job.tokens > most_tokens:
+        if max_tokens and max(0, waiting) + job.tokens > max_tokens:
             self._log.info(
                 "job_over_quota",
                 job_id=job.job_id,
                 workspace=job.workspace,
                 tokens=job.tokens,
                 waiting=waiting,
-                most=most_tokens,
+                most=max_tokens,
             )
             raise RequestError(
                 ErrorKind.OVER_LIMIT,
@@ -169,13 +169,13 @@
         except TransactionConflict:
             return await self.find(job.job_id) is not None
         except PlatformUnavailable as error:
-            raise _store_away(error, Ran.NO) from None
+            raise _store_unavailable(error, Ran.NO) from None
         except WriteOutcomeUnknown as error:
-            return await self._settle_accept(job, error)
-        self._view.learn_job(job, versions[0])
+            return await self._resolve_accept(job, error)
+        self._view.update_job(job, versions[0])
         return True
 
-    async def _settle_accept(self, job, error):
+    async def _resolve_accept(self, job, error):
         """Find out whether a transaction without answer was applied.
 
         One that is not there now may still land: "not run" cannot be said
@@ -184,10 +184,10 @@
         try:
             found = await self.find(job.job_id)
         except RequestError:
-            raise _store_away(error, Ran.UNKNOWN) from None
+            raise _store_unavailable(error, Ran.UNKNOWN) from None
         if found is not None:
             return True
-        raise _store_away(error, Ran.UNKNOWN)
+        raise _store_unavailable(error, Ran.UNKNOWN)
 
     # Reads.
 
@@ -211,7 +211,7 @@
         row = await self._read(job_key(job_id), Ran.NO)
         if row is None:
             return None
-        self._view.learn_job(decode_job(row.value), row.version)
+        self._view.update_job(decode_job(row.value), row.version)
         return self._view.job(job_id)
 
     async def refresh_progress(self, job: Job) -> Progress:
@@ -219,7 +219,7 @@
         row = await self._read(progress_key(job.job_id), Ran.NO)
         if row is not None:
             progress = decode_progress(row.value)
-            self._view.learn_progress(job.job_id, progress, row.version)
+            self._view.update_progress(job.job_id, progress, row.version)
         return self._view.progress(job)
 
     async def results(self, job: Job, first: int) -> list[Result]:
@@ -241,10 +241,10 @@
         try:
             rows = await self._table.read_range(start, end, wanted)
         except PlatformUnavailable as error:
-            raise _store_away(error, Ran.NO) from None
+            raise _store_unavailable(error, Ran.NO) from None
         if len(rows) < wanted:
             # The job is being removed, at this moment, by another node.
-            raise _store_away("results are missing", Ran.NO)
+            raise _store_unavailable("results are missing", Ran.NO)
         texts = iter(json.loads(row.value) for row in rows)
         results = []
         for each in listed[first:last]:
@@ -258,7 +258,7 @@
         try:
             data = await self._objects.get(job.payload)
         except PlatformUnavailable as error:
-            raise _store_away(error, Ran.NO) from None
+            raise _store_unavailable(error, Ran.NO) from None
         if data is None:
             raise RequestError(
                 ErrorKind.INTERNAL, f"object {job.payload} is missing"
@@ -269,7 +269,7 @@
         try:
             return await self._table.read(key)
         except PlatformUnavailable as error:
-            raise _store_away(error, ran) from None
+            raise _store_unavailable(error, ran) from None
 
     # Changes of state.
 
@@ -287,7 +287,7 @@
             if row is None:
                 return False
             job = decode_job(row.value)
-            self._view.learn_job(job, row.version)
+            self._view.update_job(job, row.version)
             if job.state is not JobState.OPEN:
                 return True
             if await self._try_state(job, row.version, state):
@@ -307,8 +307,8 @@
         except (TransactionConflict, WriteOutcomeUnknown):
             return False
         except PlatformUnavailable as error:
-            raise _store_away(error, Ran.NO) from None
-        self._view.learn_job(changed, versions[0])
+            raise _store_unavailable(error, Ran.NO) from None
+        self._view.update_job(changed, versions[0])
         return True
 
     async def remove(self, job: Job) -> None:
@@ -325,19 +325,19 @@
         await self._objects.delete(job.payload)
         await self._remove_range(*partials_range(job.job_id))
         await self._remove_range(*results_range(job.job_id, 0, len(job.items)))
-        await self._drop(progress_key(job.job_id))
-        await self._drop(job_key(job.job_id))
+        await self._delete_row(progress_key(job.job_id))
+        await self._delete_row(job_key(job.job_id))
 
     async def _remove_range(self, start, end):
         while True:
-            rows = await self._table.read_range(start, end, MOST_REMOVED)
+            rows = await self._table.read_range(start, end, MAX_DELETES)
             if not rows:
                 return
             await self._table.transact(
                 tuple(Write(row.key, None) for row in rows)
             )
 
-    async def _drop(self, key):
+    async def _delete_row(self, key):
         row = await self._table.read(key)
         if row is not None:
             await self._table.transact((Write(key, None, row.version),))
@@ -367,7 +367,9 @@
             raise OwnershipLost
         return await self._list(job, finished)
 
-    async def hand_in(self, job: Job, finished: list[Finished]) -> int:
+    async def list_as_former_owner(
+        self, job: Job, finished: list[Finished]
+    ) -> int:
         """List what this node finished before another took the job over.
 
         An item is listed once whoever lists it: the condition is the
@@ -392,7 +394,9 @@
         for position, each in enumerate(todo, len(progress.listed)):
             pieces = _pieces(each.text)
             entries.append(
-                Listed(each.index, each.outcome, len(pieces), len(each.text))
+                ListedResult(
+                    each.index, each.outcome, len(pieces), len(each.text)
+                )
             )
             writes += [
                 Write(result_key(job.job_id, position, n), json.dumps(piece))
@@ -412,25 +416,25 @@
         try:
             versions = await self._table.transact((row, *writes))
         except TransactionConflict:
-            await self._relearn(job)
+            await self._reread_progress(job)
             return False
         except WriteOutcomeUnknown as error:
             # Read what is there: if it was applied, the items are found
             # listed at the next try; if it lands later, its condition has
             # failed by then or nothing else was written.
-            await self._relearn(job)
+            await self._reread_progress(job)
             raise PlatformUnavailable(str(error)) from None
-        self._view.learn_progress(job.job_id, progress, versions[0])
+        self._view.update_progress(job.job_id, progress, versions[0])
         return True
 
-    async def _relearn(self, job):
+    async def _reread_progress(self, job):
         row = await self._table.read(progress_key(job.job_id))
         if row is not None:
             progress = decode_progress(row.value)
-            self._view.learn_progress(job.job_id, progress, row.version)
+            self._view.update_progress(job.job_id, progress, row.version)
 
 
-def _store_away(error, ran):
+def _store_unavailable(error, ran):
     return RequestError(
         ErrorKind.STORE_UNAVAILABLE,
         f"the store does not answer: {error}",
--- a/dahliashunt/jobs/model.py
+++ b/dahliashunt/jobs/model.py
@@ -19,7 +19,7 @@
     "ItemId",
     "Job",
     "JobState",
-    "Listed",
+    "ListedResult",
     "Outcome",
     "Owner",
     "Progress",
@@ -68,7 +68,7 @@
     """
 
     node_id: NodeId
-    boot: str
+    incarnation: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,7 +123,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedResult:
     """One listed result.
 
     Attributes
@@ -153,7 +153,7 @@
     """
 
     owner: Owner
-    listed: tuple[Listed, ...] = ()
+    listed: tuple[ListedResult, ...] = ()
 
     @property
     def indices(self) -> frozenset[int]:
@@ -171,7 +171,10 @@
             "items": [[item.item_id, item.tokens] for item in job.items],
             "payload": job.payload,
             "accepted_ms": job.accepted_ms,
-            "accepted_by": [job.accepted_by.node_id, job.accepted_by.boot],
+            "accepted_by": [
+                job.accepted_by.node_id,
+                job.accepted_by.incarnation,
+            ],
             "state": job.state.value,
             "workspace": job.workspace,
         },
@@ -203,7 +206,7 @@
     """Return the row's text of `progress`."""
     return json.dumps(
         {
-            "owner": [progress.owner.node_id, progress.owner.boot],
+            "owner": [progress.owner.node_id, progress.owner.incarnation],
             "listed": [
                 [each.index, each.outcome.value, each.pieces, each.size]
                 for each in progress.listed
@@ -220,7 +223,7 @@
         return Progress(
             owner=Owner(*fields["owner"]),
             listed=tuple(
-                Listed(index, Outcome(outcome), pieces, size)
+                ListedResult(index, Outcome(outcome), pieces, size)
                 for index, outcome, pieces, size in fields["listed"]
             ),
         )
--- a/dahliashunt/jobs/partials.py
+++ b/dahliashunt/jobs/partials.py
@@ -26,15 +26,15 @@
 
 __all__ = ["Partial", "PartialTexts", "fits_row"]
 
-MOST_ROW_BYTES = 60_000
+MAX_ROW_BYTES = 60_000
 """A longer text is not kept: a row takes 64 KB."""
 
-MOST_CALL_BYTES = 600_000
-MOST_CALL_ROWS = 90
+MAX_TRANSACTION_BYTES = 600_000
+MAX_TRANSACTION_ROWS = 90
 """Of one transaction, which takes 1 MB as the store writes bytes, and a
 hundred rows."""
 
-MOST_ITEMS = 1_000
+MAX_ITEMS = 1_000
 """Rows of one job that are read: several times the items of a job."""
 
 
@@ -98,7 +98,7 @@
         """
         start, end = partials_range(job_id)
         try:
-            rows = await self._table.read_range(start, end, MOST_ITEMS)
+            rows = await self._table.read_range(start, end, MAX_ITEMS)
         except PlatformUnavailable as error:
             self._log.warning(
                 "partial_read_failed", job_id=job_id, reason=str(error)
@@ -121,7 +121,7 @@
 
 def fits_row(partial: Partial) -> bool:
     """Tell whether `partial` is small enough to be kept."""
-    return len(_encoded(partial).encode()) <= MOST_ROW_BYTES
+    return len(_encoded(partial).encode()) <= MAX_ROW_BYTES
 
 
 def _encoded(partial):
@@ -142,7 +142,8 @@
         group, total = [], 0
         for size, partial, write in entries:
             if group and (
-                total + size > MOST_CALL_BYTES or len(group) >= MOST_CALL_ROWS
+                total + size > MAX_TRANSACTION_BYTES
+                or len(group) >= MAX_TRANSACTION_ROWS
             ):
                 yield group
                 group, total = [], 0
--- a/dahliashunt/jobs/takeover.py
+++ b/dahliashunt/jobs/takeover.py
@@ -14,11 +14,11 @@
 
 __all__ = ["Takeover"]
 
-SPREAD_MS = 400
+MAX_JITTER_MS = 400
 """Most time by which nodes wait at random before they take a job over:
 the first one's row reaches the others within some 20 ms."""
 
-MOST_AT_ONCE = 4
+MAX_TAKEOVERS = 4
 """Jobs that one node takes over in one look: the jobs of a lost node
 spread over those that are left."""
 
@@ -72,7 +72,7 @@
         announced = False
         while not self._left:
             if self._worker.owns_jobs or not announced:
-                announced = await self._writer.beat() or announced
+                announced = await self._writer.renew_row() or announced
             await self._clock.sleep_ms(period_ms(self._reader.owners))
         await asyncio.Event().wait()
 
@@ -86,12 +86,12 @@
             ]
             if others:
                 owners = {self._view.progress(job).owner for job in others}
-                await self._reader.look(owners)
-                await self._take_some(others)
+                await self._reader.poll(owners)
+                await self._take_over_some(others)
             await self._clock.sleep_ms(period_ms(self._reader.owners))
         await asyncio.Event().wait()
 
-    async def _take_some(self, others):
+    async def _take_over_some(self, others):
         orphans = [
             job
             for job in others
@@ -100,8 +100,8 @@
         if not orphans:
             return
         self._rng.shuffle(orphans)
-        await self._clock.sleep_ms(self._rng.randint(0, SPREAD_MS))
-        for job in orphans[:MOST_AT_ONCE]:
+        await self._clock.sleep_ms(self._rng.randint(0, MAX_JITTER_MS))
+        for job in orphans[:MAX_TAKEOVERS]:
             if self._left:
                 return
             owner = self._view.progress(job).owner
--- a/dahliashunt/jobs/tests/test_ledger.py
+++ b/dahliashunt/jobs/tests/test_ledger.py
@@ -47,7 +47,7 @@
 
 
 @pytest.fixture
-def node(table, objects):
+def make_ledger(table, objects):
     """Return ``make(owner)``, the ledger of one node with its own view."""
     return lambda owner: JobLedger(table, objects, JobView(LOG), owner, LOG)
 
@@ -62,20 +62,20 @@
     return [(r.item_id, r.text) for r in await ledger.results(job, 0)]
 
 
-def test_a_former_owner_hands_in_what_it_had_done(node):
+def test_a_former_owner_hands_in_what_it_had_done(make_ledger):
     # The store turns an entry away for seconds, its job is taken over, and
     # its two items are done on both nodes. Each must be read once, from
     # whichever node comes first.
     async def main():
-        old, new = node(FIRST), node(SECOND)
+        old, new = make_ledger(FIRST), make_ledger(SECOND)
         await old.accept(JOB, b"payload", 0)
         await new.find(JOB.job_id)
         assert await new.take_over(JOB)
         await new.list_results(JOB, [done(0, "new")])
         both = [done(0, "old"), done(1, "old")]
         with pytest.raises(PlatformUnavailable):
-            await old.hand_in(JOB, both)
-        await old.hand_in(JOB, both)
+            await old.list_as_former_owner(JOB, both)
+        await old.list_as_former_owner(JOB, both)
         with pytest.raises(PlatformUnavailable):
             await new.list_results(JOB, [done(1, "new")])
         await new.list_results(JOB, [done(1, "new")])
@@ -84,11 +84,11 @@
     asyncio.run(main())
 
 
-def test_a_replaced_owner_lists_nothing(node):
+def test_a_replaced_owner_lists_nothing(make_ledger):
     # An entry stands still for seconds; its job is taken over. When it
     # wakes it lists what it holds: a caller would read an item twice.
     async def main():
-        old, new = node(FIRST), node(SECOND)
+        old, new = make_ledger(FIRST), make_ledger(SECOND)
         await old.accept(JOB, b"payload", 0)
         await new.find(JOB.job_id)
         assert await new.take_over(JOB)
@@ -102,10 +102,10 @@
     asyncio.run(main())
 
 
-def test_of_two_takers_one_gets_the_job(node):
+def test_of_two_takers_one_gets_the_job(make_ledger):
     async def main():
-        await node(FIRST).accept(JOB, b"payload", 0)
-        takers = [node(SECOND), node(Owner(NodeId("c"), "1"))]
+        await make_ledger(FIRST).accept(JOB, b"payload", 0)
+        takers = [make_ledger(SECOND), make_ledger(Owner(NodeId("c"), "1"))]
         for taker in takers:
             await taker.find(JOB.job_id)
         taken = [await taker.take_over(JOB) for taker in takers]
@@ -115,9 +115,9 @@
 
 
 @pytest.mark.parametrize("applied", [True, False])
-def test_a_listing_without_answer_is_listed_once(node, table, applied):
+def test_a_listing_without_answer_is_listed_once(make_ledger, table, applied):
     async def main():
-        ledger = node(FIRST)
+        ledger = make_ledger(FIRST)
         await ledger.accept(JOB, b"payload", 0)
         if applied:
             table.drop_answers = 1
@@ -131,9 +131,9 @@
     asyncio.run(main())
 
 
-def test_a_long_text_comes_back_whole(node):
+def test_a_long_text_comes_back_whole(make_ledger):
     async def main():
-        ledger = node(FIRST)
+        ledger = make_ledger(FIRST)
         await ledger.accept(JOB, b"payload", 0)
         text = "".join(chr(0x100 + n % 5000) for n in range(100_000))
         await ledger.list_results(JOB, [done(1, text), done(0, "")])
@@ -142,11 +142,13 @@
     asyncio.run(main())
 
 
-def test_an_acceptance_without_trace_is_never_called_not_run(node, table):
+def test_an_acceptance_without_trace_is_never_called_not_run(
+    make_ledger, table
+):
     # The transaction was sent and its answer lost; nothing is there yet,
     # but it may land any moment.
     async def main():
-        ledger = node(FIRST)
+        ledger = make_ledger(FIRST)
         table.lose_writes = 1
         with pytest.raises(RequestError) as raised:
             await ledger.accept(JOB, b"payload", 0)
@@ -155,19 +157,19 @@
     asyncio.run(main())
 
 
-def test_an_acceptance_whose_answer_was_lost_stands(node, table):
+def test_an_acceptance_whose_answer_was_lost_stands(make_ledger, table):
     async def main():
-        ledger = node(FIRST)
+        ledger = make_ledger(FIRST)
         table.drop_answers = 1
         await ledger.accept(JOB, b"payload", 0)
-        assert await node(SECOND).find(JOB.job_id) == JOB
+        assert await make_ledger(SECOND).find(JOB.job_id) == JOB
 
     asyncio.run(main())
 
 
-def test_ending_twice_frees_the_tokens_once(node):
+def test_ending_twice_frees_the_tokens_once(make_ledger):
     async def main():
-        ledger = node(FIRST)
+        ledger = make_ledger(FIRST)
         await ledger.accept(JOB, b"payload", 30)
         for _ in range(2):
             assert await ledger.set_state(JOB.job_id, JobState.ENDED)
--- a/dahliashunt/jobs/tests/test_quota.py
+++ b/dahliashunt/jobs/tests/test_quota.py
@@ -39,7 +39,7 @@
 NODE = st.integers(0, NODES - 1)
 
 
-def job_of(number, workspace, owner):
+def make_job(number, workspace, owner):
     return Job(
         job_id=JobId(f"{workspace}-{number}"),
         route="r",
@@ -75,7 +75,7 @@
     @rule(node=NODE, number=NUMBERS, workspace=SPACES)
     def accept(self, node, number, workspace):
         ledger = self.ledgers[node]
-        job = job_of(number, workspace, ledger.owner)
+        job = make_job(number, workspace, ledger.owner)
         self.do(ledger.accept(job, b"payload", CAP))
 
     @rule(node=NODE, number=NUMBERS, workspace=SPACES)
--- a/dahliashunt/jobs/view.py
+++ b/dahliashunt/jobs/view.py
@@ -55,11 +55,11 @@
         """Take over one row."""
         try:
             if row.key.startswith(JOBS_PREFIX):
-                self.learn_job(decode_job(row.value), row.version)
+                self.update_job(decode_job(row.value), row.version)
             elif row.key.startswith(PROGRESS_PREFIXES):
                 job_id = JobId(row.key.rsplit("/", 1)[1])
                 progress = decode_progress(row.value)
-                self.learn_progress(job_id, progress, row.version)
+                self.update_progress(job_id, progress, row.version)
         except UnreadableRow as error:
             self._log.error("row_unreadable", key=row.key, reason=str(error))
 
@@ -77,7 +77,7 @@
 
     # Knowledge.
 
-    def learn_job(self, job: Job, version: int) -> None:
+    def update_job(self, job: Job, version: int) -> None:
         """Take over a job's row unless a newer one is known."""
         known = self.job_by_id.get(job.job_id)
         if known is not None and known.version >= version:
@@ -87,9 +87,9 @@
             self._open.add(job.job_id)
         else:
             self._open.discard(job.job_id)
-        self._wake()
+        self._notify()
 
-    def learn_progress(
+    def update_progress(
         self, job_id: JobId, progress: Progress, version: int
     ) -> None:
         """Take over a progress row unless a newer one is known."""
@@ -97,9 +97,9 @@
         if known is not None and known.version >= version:
             return
         self.progress_by_id[job_id] = Versioned(progress, version)
-        self._wake()
+        self._notify()
 
-    def _wake(self):
+    def _notify(self):
         self._changed.set()
         self._changed = asyncio.Event()
 
--- a/dahliashunt/jobs/worker.py
+++ b/dahliashunt/jobs/worker.py
@@ -34,22 +34,22 @@
 
 __all__ = ["JobWorker"]
 
-PAUSE_MS = (40, 90)
+SLOT_RETRY_MS = (40, 90)
 """Between asks while every slot is taken: a slot of a busy fleet of five
 replicas frees every 20 ms, and each ask costs a datagram a replica."""
 
-LOOK_MS = 250
+VIEW_POLL_MS = 250
 """Between looks for jobs that were taken over or ended, at the latest."""
 
 ABANDON_MARGIN_MS = 500
 """Items are given up so much after the route's time: the caller's count
 started up to a round trip before ours."""
 
-HELD_CHARACTERS = 8_000_000
+MAX_HELD_CHARACTERS = 8_000_000
 """Text of unlisted results beyond which no item starts: while the store
 is away a node of 128 MB must not fill up."""
 
-MOST_RUNNING = 128
+MAX_RUNNING_ITEMS = 128
 """Items that one node runs at once."""
 
 
@@ -75,7 +75,7 @@
         node: Node,
         view: JobView,
         ledger: JobLedger,
-        places: ReplicaSelector,
+        replica_selector: ReplicaSelector,
         pool: ConnectionPool,
         dialect: ReplicaDialect,
         payloads: PayloadReader,
@@ -85,7 +85,7 @@
         self.node = node
         self.view = view
         self.ledger = ledger
-        self.places = places
+        self.replica_selector = replica_selector
         self.pool = pool
         self.dialect = dialect
         self.payloads = payloads
@@ -96,9 +96,9 @@
         self._rng: random.Random = node.rng
         self._run_by_id: dict[JobId, JobRun] = {}
         self._waiting = ItemQueue()
-        self._woken = asyncio.Event()
+        self._item_queued = asyncio.Event()
         self._running = 0
-        self._hand_ins = set()
+        self._flush_tasks = set()
         self._leaving = False
         self.held_characters = 0
 
@@ -109,16 +109,16 @@
 
     async def run(self) -> None:
         """Follow the view and start items, for ever."""
-        pump = asyncio.create_task(self._pump())
+        starter = asyncio.create_task(self._start_items())
         try:
             while True:
-                self._match_view()
-                await self.view.wait(LOOK_MS)
-                if pump.done():
-                    pump.result()
+                self._sync_with_view()
+                await self.view.wait(VIEW_POLL_MS)
+                if starter.done():
+                    starter.result()
         finally:
-            pump.cancel()
-            for task in self._hand_ins:
+            starter.cancel()
+            for task in self._flush_tasks:
                 task.cancel()
             for run in self._run_by_id.values():
                 run.stop()
@@ -138,25 +138,25 @@
         """
         self._leaving = True
         for job_id in list(self._run_by_id):
-            self.retire(job_id)
+            self.release_job(job_id)
 
-    def _match_view(self):
+    def _sync_with_view(self):
         if self._leaving:
             return
-        mine = {
+        owned = {
             job.job_id: job
             for job in self.view.open_jobs()
             if self.view.progress(job).owner == self.ledger.owner
         }
         for job_id in list(self._run_by_id):
-            if job_id not in mine:
-                self.retire(job_id)
-        for job_id, job in mine.items():
+            if job_id not in owned:
+                self.release_job(job_id)
+        for job_id, job in owned.items():
             if job_id not in self._run_by_id:
                 self._run_by_id[job_id] = JobRun(self, job)
-            self._run_by_id[job_id].look()
+            self._run_by_id[job_id].stop_listed_items()
 
-    def retire(self, job_id: JobId) -> None:
+    def release_job(self, job_id: JobId) -> None:
         """Stop a job that is not ours; hand in what was done of it.
 
         The failure it is for: an owner that the store turns away runs its
@@ -170,23 +170,23 @@
         finished = run.take_finished()
         run.stop()
         if finished:
-            task = asyncio.create_task(self._hand_in(run.job, finished))
-            self._hand_ins.add(task)
-            task.add_done_callback(self._handed_in)
+            task = asyncio.create_task(self._flush(run.job, finished))
+            self._flush_tasks.add(task)
+            task.add_done_callback(self._flush_done)
 
-    def _handed_in(self, task):
-        self._hand_ins.discard(task)
+    def _flush_done(self, task):
+        self._flush_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self.log.error(
                 "results_flush_failed", reason=repr(task.exception())
             )
 
-    async def _hand_in(self, job, finished):
+    async def _flush(self, job, finished):
         held = sum(len(each.text) for each in finished)
         count = len(finished)
         try:
             while finished and self.view.is_open(job.job_id):
-                finished = await self._hand_in_some(job, finished)
+                finished = await self._flush_some(job, finished)
         finally:
             self.held_characters -= held
         self.log.info(
@@ -196,9 +196,9 @@
             left=len(finished),
         )
 
-    async def _hand_in_some(self, job, finished):
+    async def _flush_some(self, job, finished):
         try:
-            await self.ledger.hand_in(job, finished)
+            await self.ledger.list_as_former_owner(job, finished)
         except PlatformUnavailable as error:
             self.log.warning(
                 "listing_failed",
@@ -218,18 +218,18 @@
         """Queue `item` for a slot."""
         work = (job_run, item)
         self._waiting.put(WaitingItem(item.due_ms, item.ran_ms, work))
-        self._woken.set()
+        self._item_queued.set()
 
-    async def _pump(self):
+    async def _start_items(self):
         while True:
-            entry = self._next()
+            entry = self._next_ready()
             if entry is None:
-                self._woken.clear()
+                self._item_queued.clear()
                 await self._pause_or_wake()
                 continue
             job_run, item = entry.work
-            reservation = await self._place(entry)
-            if reservation is _NOWHERE:
+            reservation = await self._reserve(entry)
+            if reservation is _NOT_NEEDED:
                 continue
             if reservation is None:
                 self._waiting.put(entry)
@@ -242,20 +242,20 @@
             job_run.spawn(self._attempt(job_run, item, reservation))
 
     async def _pause(self):
-        await self.clock.sleep_ms(self._rng.randint(*PAUSE_MS))
+        await self.clock.sleep_ms(self._rng.randint(*SLOT_RETRY_MS))
 
     async def _pause_or_wake(self):
         try:
-            async with asyncio.timeout(LOOK_MS / 1000):
-                await self._woken.wait()
+            async with asyncio.timeout(VIEW_POLL_MS / 1000):
+                await self._item_queued.wait()
         except TimeoutError:
             return
 
-    def _next(self):
+    def _next_ready(self):
         """Take the item that goes next out of those that may run now."""
-        if self._running >= MOST_RUNNING:
+        if self._running >= MAX_RUNNING_ITEMS:
             return None
-        if self.held_characters > HELD_CHARACTERS:
+        if self.held_characters > MAX_HELD_CHARACTERS:
             return None
         now_ms = self.clock.now_ms()
         later = []
@@ -273,7 +273,7 @@
             self._waiting.put(entry)
         return found
 
-    async def _place(self, entry):
+    async def _reserve(self, entry):
         """Return a place for an item, or None if there is no slot now."""
         job_run, item = entry.work
         now_ms = self.clock.now_ms()
@@ -283,10 +283,10 @@
             return None
         if route is None or route.kind is not RouteKind.BATCH:
             job_run.finish(item, Outcome.DEAD, "its route has ended")
-            return _NOWHERE
+            return _NOT_NEEDED
         if now_ms >= item.abandon_ms + ABANDON_MARGIN_MS:
             job_run.finish(item, Outcome.DEAD, "it waited too long")
-            return _NOWHERE
+            return _NOT_NEEDED
         service = route.service_for(item.call.request_id)
         parts = item.call.shared_parts
         requirements = SlotRequirements(
@@ -300,7 +300,7 @@
         )
         with_agents = self.node.has_agents(service)
         try:
-            return await self.places.find(
+            return await self.replica_selector.find(
                 requirements, item.call.request_id, with_agents
             )
         except RequestError:
@@ -330,14 +330,14 @@
                 end=end.value,
                 failures=item.failures,
             )
-        self._judge(job_run, item, reservation, end)
+        self._handle_end(job_run, item, reservation, end)
 
-    def _judge(self, job_run, item, reservation, end):
+    def _handle_end(self, job_run, item, reservation, end):
         suspicion = self.node.forwarder.suspicion
         incarnation = reservation.replica.incarnation
         if end is ItemEnd.DONE:
             suspicion.served(incarnation)
-            self._learn(job_run, item, reservation.replica)
+            self._record_done(job_run, item, reservation.replica)
             job_run.finish(item, Outcome.DONE, "")
             return
         if end in (ItemEnd.LOST, ItemEnd.FAILED, ItemEnd.NOT_RUN):
@@ -353,7 +353,7 @@
         else:
             self.wait_for_slot(job_run, item)
 
-    def _learn(self, job_run, item, replica):
+    def _record_done(self, job_run, item, replica):
         now_ms = self.clock.now_ms()
         took_ms = now_ms - item.started_ms
         self._waiting.done(item.ran_ms)
@@ -370,5 +370,5 @@
         )
 
 
-_NOWHERE = object()
+_NOT_NEEDED = object()
 """Stands for the place of an item that no longer needs one."""
