--- a/dahliashunt/jobs/__init__.py
+++ b/dahliashunt/jobs/__init__.py
@@ -1,22 +1,22 @@
 """Batch jobs whose state is in the platform's tables and objects.
 
-An entry owns the jobs that it accepts, runs their items wherever slots
-are idle, and lists results. Whatever must last is in five tables:
+An entry owns the jobs that it accepts, runs their items in idle slots and
+lists the results. Durable state is in five tables:
 
 ========== ============================ ===============================
 table      key                          holds
 ========== ============================ ===============================
 jobs       ``jobs//JOB``                the accepted job, and its state
 quotas     ``quotas//ROUTE``            tokens of the route's open jobs
-progress   ``progress/SHARD/JOB``       owner, and what is listed so far
+progress   ``progress/SHARD/JOB``       owner, and the listed results
 results    ``results/SHARD/JOB/POS/N``  a listed result's text, in pieces
 partials   ``partials/SHARD/JOB/INDEX`` an unfinished item's text so far
 ========== ============================ ===============================
 
 Acceptance is one transaction over ``jobs`` and ``quotas``; listing is one
-over ``progress`` and ``results``. Each is conditional on the versions that
-were read, so that a write that lands late, or an owner that was replaced
-meanwhile, changes nothing. Partial texts are no condition of anything.
+over ``progress`` and ``results``. Each is conditional on the row versions
+that were read, so that a delayed write or a former owner changes nothing.
+Writes of partial texts are unconditional.
 """
 
 from dahliashunt.jobs.ledger import JobLedger
--- a/dahliashunt/jobs/beats.py
+++ b/dahliashunt/jobs/beats.py
@@ -1,9 +1,9 @@
-"""Which nodes that own jobs are alive, from rows that they renew.
+"""Failure detection of job owners by heartbeat rows.
 
-An owner writes its row every period while it owns jobs. An observer takes
-it for gone only after it has seen the same row unchanged for the whole
-term on its own clock while the table answered; no clocks are compared. A
-row of another boot of the node means that the owner's life has ended.
+An owner renews its row every period while it owns jobs. An observer
+considers it gone once the row was unchanged for the timeout on the
+observer's own clock while the table was available; clocks of nodes are not
+compared. A row of another incarnation ends the former one at once.
 """
 
 from dataclasses import dataclass
@@ -22,25 +22,22 @@
 __all__ = ["HEARTBEAT_MS", "BeatReader", "BeatWriter", "period_ms"]
 
 HEARTBEAT_MS = 1_000
-"""Between renewals. A job's results are due in some 18 s, of which finding
-a dead owner takes the term."""
+"""Shortest time between renewals of a heartbeat row."""
 
 SILENCE_TIMEOUT_MS = 3_500
-"""Unchanged for so long, an owner is gone: three renewals were missed."""
+"""Time without a renewal, at the shortest period, until an owner is gone."""
 
 MS_PER_OWNER = 15
-"""Lengthens the period with the number of owners, so that their renewals
-together stay under 70 writes a second, of the 150 that a part takes, and
-the reads of all nodes under a fixed number of rows a second."""
+"""Shortest period per owner: bounds the rate of all owners' renewals."""
 
 MAX_ROWS = 2_000
 
 NO_INCARNATION = ""
-"""Stands in the row of a node that has left: no life of it owns jobs."""
+"""In the row of a node that has left: none of its incarnations owns jobs."""
 
 
 def period_ms(owners: int) -> int:
-    """Return the time between renewals with so many owners."""
+    """Return the time between renewals for a number of owners."""
     return max(HEARTBEAT_MS, owners * MS_PER_OWNER)
 
 
@@ -49,7 +46,15 @@
 
 
 class BeatWriter:
-    """Renews this node's row."""
+    """Renews this node's heartbeat row.
+
+    Parameters
+    ----------
+    table : TableService
+    owner : Owner
+        This node.
+    log : structlog logger
+    """
 
     def __init__(self, table: TableService, owner: Owner, log):
         self._table = table
@@ -59,13 +64,13 @@
         self._version = None
 
     async def renew_row(self) -> bool:
-        """Renew once; return whether the table took it."""
+        """Renew the row once; return whether the write succeeded."""
         return await self._write(self._owner.incarnation)
 
     async def leave(self) -> bool:
-        """End this life for everybody; return whether the table took it.
+        """Mark this node as gone; return whether the write succeeded.
 
-        To be called once nothing runs here any more.
+        Call it only once no item runs here any more.
         """
         return await self._write(NO_INCARNATION)
 
@@ -97,7 +102,21 @@
 
 
 class BeatReader:
-    """Watches other nodes' rows."""
+    """Watches the heartbeat rows of other nodes.
+
+    Parameters
+    ----------
+    table : TableService
+    own : Owner
+        This node.
+    clock : Clock
+    log : structlog logger
+
+    Attributes
+    ----------
+    owners : int
+        Number of rows at the last poll.
+    """
 
     def __init__(self, table: TableService, own: Owner, clock: Clock, log):
         self._table = table
@@ -112,9 +131,8 @@
     async def poll(self, owners) -> None:
         """Read all rows once; `owners` are those of open jobs.
 
-        An owner's term starts when it is first seen to own a job: its row
-        stood still before, since it had nothing to renew, and so did this
-        reader.
+        An owner's timeout starts when it is first seen to own a job, since
+        it doesn't renew its row without one.
         """
         try:
             rows = await self._table.read_range(
@@ -126,7 +144,7 @@
             return
         now_ms = self._clock.now_ms()
         if self._restart_timeouts:
-            # Owners could not renew either: every term starts again.
+            # Owners couldn't renew during an outage: restart all timeouts.
             self._watched_since_ms_by_owner.clear()
             self._restart_timeouts = False
         watched = self._watched_since_ms_by_owner
@@ -145,7 +163,7 @@
             )
 
     def is_gone(self, owner: Owner) -> bool:
-        """Tell whether that life of the node has surely ended."""
+        """Tell whether that incarnation of the node has ended."""
         if owner.node_id == self._own.node_id and owner != self._own:
             return True
         since_ms = self._watched_since_ms_by_owner.get(owner)
--- a/dahliashunt/jobs/checkpoints.py
+++ b/dahliashunt/jobs/checkpoints.py
@@ -1,4 +1,4 @@
-"""Save what is done of a node's unfinished items, every second."""
+"""Periodic checkpoints of a node's unfinished items."""
 
 from dahliashunt.jobs.partials import fits_row
 from dahliashunt.jobs.partials import PartialTexts
@@ -8,11 +8,10 @@
 __all__ = ["Checkpoints"]
 
 SAVE_PERIOD_MS = 1_000
-"""Between saves: what a node's loss costs an item at the most, a fifth of
-its run, besides its prompt."""
+"""Time between saves: bounds the work that an item loses with its node."""
 
 MIN_EVENTS = 10
-"""New events that are worth a row: a third of a second of a run."""
+"""New events since the last save that are worth a write."""
 
 
 class Checkpoints:
@@ -33,18 +32,22 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Save for ever."""
+        """Save periodically until cancelled."""
         while True:
             await self._clock.sleep_ms(SAVE_PERIOD_MS)
             await self.save(MIN_EVENTS)
 
     async def save(self, min_events: int = 1) -> bool:
-        """Save the items that have made so many events since the last.
+        """Save the items with enough new events since their last save.
+
+        Parameters
+        ----------
+        min_events : int
 
         Returns
         -------
         bool
-            Whether the store took all of them.
+            Whether all of them were saved.
         """
         items_by_name = {
             (job_id, item.index): item
--- a/dahliashunt/jobs/expiry.py
+++ b/dahliashunt/jobs/expiry.py
@@ -1,8 +1,7 @@
-"""Remove what is kept of jobs once callers may no longer ask for it.
+"""Removal of expired jobs from the store.
 
-The store keeps every row for ever, a restarted node reads all of them, and
-each node holds them in memory. At the size to design for that is 11,000
-jobs and 12 million results more each day.
+The store has no expiry of its own. Without removal the rows, the time of a
+node's start and the memory of each node grow without bound.
 """
 
 import random
@@ -21,11 +20,10 @@
 __all__ = ["Expiry"]
 
 SWEEP_PERIOD_MS = (10_000, 20_000)
-"""Between looks, drawn anew each time so that nodes do not look together."""
+"""Bounds of the random time between sweeps, which keeps nodes apart."""
 
 MAX_REMOVALS = 8
-"""Jobs removed in one look, so that it never crowds out a job's listing:
-with one owner that is 23,000 jobs a day at the slowest pace."""
+"""Jobs removed in one sweep, so that listing results isn't delayed."""
 
 
 class Expiry:
@@ -38,7 +36,7 @@
     keep_ms : int
         How long results stay readable after a job's acceptance.
     store_now_ms : callable
-        The store's clock, as known here.
+        Returns this node's estimate of the store's clock.
     clock : Clock
     rng : random.Random
     log : structlog logger
@@ -63,7 +61,7 @@
         self._log = log
 
     async def run(self) -> None:
-        """Look for expired jobs, for ever."""
+        """Remove expired jobs periodically until cancelled."""
         while True:
             await self._clock.sleep_ms(self._rng.randint(*SWEEP_PERIOD_MS))
             await self.look(self._store_now_ms())
@@ -85,7 +83,7 @@
                 TransactionConflict,
                 WriteOutcomeUnknown,
             ) as error:
-                # The job's own row goes last, so that it is found again.
+                # The job's row is removed last: a later sweep retries it.
                 self._log.warning(
                     "job_removal_failed", job_id=job.job_id, reason=str(error)
                 )
--- a/dahliashunt/jobs/item_run.py
+++ b/dahliashunt/jobs/item_run.py
@@ -1,4 +1,4 @@
-"""One batch item on its way: attempts at replicas, and its text so far."""
+"""Attempts of one batch item at replicas, and its text so far."""
 
 import enum
 
@@ -18,24 +18,21 @@
 __all__ = ["ItemEnd", "ItemRun"]
 
 SILENCE_MS = 1_500
-"""An item's replica that sends nothing for so long is left. Tokens come
-every few milliseconds, ten times as slowly at a slowed replica; what was
-made is kept, so that leaving costs a prompt's reading only."""
+"""Silence after which an attempt is given up; the item's text is kept."""
 
 CRASH_LOSSES = 3
 """Losses in a row without an event after which an item is suspected to
-crash its replicas, and waits `CRASHED_WAIT_MS` before each further try."""
+crash its replicas."""
 
 CRASHED_WAIT_MS = 15_000
-"""Longer than replicas need to come back: a crashing item then takes one
-replica down now and then, instead of all of them one after another."""
+"""Delay before each further attempt of such an item: longer than a
+replica's restart, so that it doesn't take down all replicas in turn."""
 
 REFUSED_WAIT_MS = 100
-"""Before an item that a replica refused is tried again. Without it one
-item and a replica that was replaced made 250 attempts a second."""
+"""Delay before the next attempt after a refusal; prevents a busy loop."""
 
 MAX_IDLE_MS = 3_000
-"""Idle time of a connection that an item may take."""
+"""Longest idle time of a pooled connection that an attempt reuses."""
 
 
 class ItemEnd(enum.Enum):
@@ -43,15 +40,15 @@
 
     DONE = "done"
     REVOKED = "revoked"
-    """Its slot was taken back for an online request."""
+    """The slot was revoked for an online request."""
 
     NOT_RUN = "not_run"
     LOST = "lost"
     FAILED = "failed"
-    """The replica ran it and answered with a failure of its own."""
+    """The replica ran the item and answered with an error."""
 
     IMPOSSIBLE = "impossible"
-    """The replica says that the item can never be done."""
+    """The replica rejected the item for good (status 422)."""
 
 
 class ItemRun:
@@ -60,27 +57,27 @@
     Parameters
     ----------
     index : int
-        Of the item in its job.
+        Index of the item in its job.
     call : Call
     due_ms, abandon_ms : int
-        Monotonic times of this node.
+        Monotonic times at which the item is due, and is given up.
 
     Attributes
     ----------
     failures : int
-        Failures that its replicas answered.
+        Number of error answers from replicas.
     not_before_ms : int
-        It is not to be tried again sooner.
+        Earliest monotonic time of the next attempt.
     ran_ms : int
-        How long it has held slots here; what it made is kept.
+        Total time that attempts on this node have held slots.
     started_ms : int or None
-        When it first held one here.
+        Start of the first attempt on this node.
     revokes : int
-        How often its slot was taken back.
+        Number of attempts ended by a revoked slot.
     last_event : int
-        It has the events up to here.
+        Number of the last event received.
     saved_event : int
-        The store has its text up to here.
+        Number of the last event in the saved text.
     """
 
     def __init__(self, index: int, call: Call, due_ms: int, abandon_ms: int):
@@ -106,20 +103,20 @@
         return "\n".join(self._texts)
 
     def partial(self, job_id: JobId) -> Partial:
-        """Return what it has, to be kept."""
+        """Return the item's text so far, to be saved."""
         return Partial(job_id, self.index, self.last_event, self.text)
 
     def resume(self, partial: Partial) -> None:
-        """Go on from what was kept of it, before its first attempt."""
+        """Restore a saved text; call it before the first attempt."""
         self.last_event = self.saved_event = partial.last_event
         self._texts = [partial.text]
 
     def is_ready(self, now_ms: int) -> bool:
-        """Tell whether it may be tried, or is to be given up, now."""
+        """Tell whether the item may be attempted, or is to be given up."""
         return now_ms >= min(self.not_before_ms, self.abandon_ms)
 
     def revoke(self) -> None:
-        """Stop the attempt in progress: its slot is wanted elsewhere."""
+        """Abort the attempt in progress, since its slot was revoked."""
         self._revoked = True
         if self._connection is not None:
             self._connection.abort()
@@ -131,7 +128,7 @@
         dialect: ReplicaDialect,
         clock: Clock,
     ) -> ItemEnd:
-        """Run the item at `reservation`, from its last event on."""
+        """Run the item at `reservation`, resuming after its last event."""
         address = reservation.replica.address
         try:
             connection = await pool.take(address, MAX_IDLE_MS)
@@ -199,7 +196,7 @@
                         return ItemEnd.LOST
 
     def _append_events(self, splitter, data):
-        """Keep the text of whole events; False if they do not follow."""
+        """Append the whole events; return False on a gap in their numbers."""
         try:
             for event in splitter.feed(data):
                 if event.number is None:
--- a/dahliashunt/jobs/job_run.py
+++ b/dahliashunt/jobs/job_run.py
@@ -1,4 +1,4 @@
-"""One owned job: its items' tasks, and the listing of their results."""
+"""Execution of one owned job: its items' tasks and listing of results."""
 
 import asyncio
 
@@ -14,24 +14,25 @@
 __all__ = ["RETRY_MS", "JobRun"]
 
 RETRY_MS = (150, 400)
-"""Between tries of a listing while the store does not answer."""
+"""Bounds of the random delay before a failed store call is retried."""
 
 
 class JobRun:
-    """Runs one job until all of its items are listed, or it is stopped.
+    """Runs one job until all of its items are listed or it is stopped.
 
     Parameters
     ----------
     worker : JobWorker
-        Gives its items slots.
+        Starts the items when slots are free.
     job : Job
 
     Attributes
     ----------
     stopped : bool
-        Another node owns the job, it has ended, or a task of it failed.
+        Whether `stop` was called: the job has ended or another owner, or
+        one of its tasks failed.
     item_by_index : dict
-        The items that hold a slot now.
+        Items with an attempt in progress.
     """
 
     def __init__(self, worker, job: Job):
@@ -60,12 +61,12 @@
                 job_id=self.job.job_id,
                 reason=repr(task.exception()),
             )
-            # The view brings the job back with what is listed.
+            # The worker starts the job again at its next view update.
             self.stop()
             self._worker.forget(self.job.job_id)
 
     def stop(self) -> None:
-        """Cancel everything: closing connections stops the replicas."""
+        """Cancel all tasks; closed connections stop the replicas."""
         self.stopped = True
         for task in list(self._tasks):
             task.cancel()
@@ -74,7 +75,7 @@
         self._finished.clear()
 
     def take_finished(self) -> list[Finished]:
-        """Return the items that are done and not listed yet; forget them."""
+        """Remove and return the items that are done but not listed."""
         finished, self._finished = self._finished, []
         return [each for each in finished if each.outcome is Outcome.DONE]
 
@@ -87,11 +88,11 @@
         ]
 
     def is_listed(self, item: ItemRun) -> bool:
-        """Tell whether `item` needs no run any more."""
+        """Tell whether the result of `item` is listed."""
         return item.index in self._listed
 
     def stop_listed_items(self) -> None:
-        """Stop the runs of items that a former owner has listed."""
+        """Stop the attempts of items that another node has listed."""
         listed = self._worker.view.progress(self.job).indices
         if listed == self._listed:
             return
@@ -102,7 +103,7 @@
         self._changed.set()
 
     def finish(self, item: ItemRun, outcome: Outcome, reason: str) -> None:
-        """Take an item's outcome; it is listed as soon as possible."""
+        """Queue an item's outcome for listing."""
         text = item.text if outcome is Outcome.DONE else ""
         if outcome is Outcome.DEAD:
             self._worker.log.warning(
@@ -144,7 +145,7 @@
         await self._list_all()
 
     async def _partials(self):
-        """Return what a former owner has kept of the job's items."""
+        """Return the partial texts that a former owner has saved."""
         worker = self._worker
         is_new = (
             self.job.accepted_by == worker.ledger.owner
--- a/dahliashunt/jobs/keys.py
+++ b/dahliashunt/jobs/keys.py
@@ -1,4 +1,4 @@
-"""Keys of the jobs' rows."""
+"""Keys of the table rows of jobs."""
 
 import hashlib
 
@@ -20,16 +20,15 @@
 ]
 
 SHARDS = 8
-"""Parts that progress and results are spread over. A part takes 150
-transactions a second on the platforms known; eight carry 12 million items
-a day (139 a second) eight times over, and a restart reads eight pages."""
+"""Number of table partitions that progress, results and partial texts are
+spread over; each has its own limit of transactions per second."""
 
 JOBS_PREFIX = "jobs//"
 PROGRESS_PREFIXES = tuple(f"progress/{n}/" for n in range(SHARDS))
 
 
 def shard_of(job_id: JobId) -> int:
-    """Return the part that `job_id` is in."""
+    """Return the shard of `job_id`."""
     digest = hashlib.blake2b(job_id.encode(), digest_size=2).digest()
     return int.from_bytes(digest) % SHARDS
 
@@ -40,10 +39,10 @@
 
 
 def quota_key(route: str, workspace: WorkspaceId) -> str:
-    """Return the key of the count of tokens that wait on a route.
+    """Return the key of the count of waiting tokens on a route.
 
-    Of one workspace, or of all callers together where there are none. Names
-    are digested: together they may be longer than a key.
+    It counts one workspace, or all callers if `workspace` is empty. The
+    names are hashed, since together they may exceed the length of a key.
     """
     if not workspace:
         return f"quotas//{route}"
@@ -64,7 +63,7 @@
 
 
 def results_range(job_id: JobId, first: int, last: int) -> tuple[str, str]:
-    """Return where rows of positions `first` to `last` - 1 lie."""
+    """Return the key range of positions `first` to `last` - 1."""
     prefix = f"results/{shard_of(job_id)}/{job_id}"
     return f"{prefix}/{first:05d}", f"{prefix}/{last:05d}"
 
@@ -75,11 +74,11 @@
 
 
 def partial_index(key: str) -> int:
-    """Return the item's index in a key of `partial_key`."""
+    """Return the item's index from a key made by `partial_key`."""
     return int(key.rsplit("/", 1)[1])
 
 
 def partials_range(job_id: JobId) -> tuple[str, str]:
-    """Return where a job's unfinished texts lie."""
+    """Return the key range of a job's partial texts."""
     prefix = f"partials/{shard_of(job_id)}/{job_id}"
     return f"{prefix}/", f"{prefix}0"
--- a/dahliashunt/jobs/ledger.py
+++ b/dahliashunt/jobs/ledger.py
@@ -1,4 +1,4 @@
-"""The transactions on jobs, and how an unknown outcome is settled."""
+"""Transactions on jobs, and resolution of unknown write outcomes."""
 
 from dataclasses import dataclass
 from dataclasses import replace
@@ -37,31 +37,29 @@
 __all__ = ["Finished", "JobLedger", "OwnershipLost", "Result"]
 
 CONFLICT_TRIES = 8
-"""Tries of a transaction that another node's was ahead of. A route sees a
-few acceptances a second at the most, each of some 10 ms."""
+"""Most tries of a transaction that conflicts with another node's."""
 
 PIECE_CHARACTERS = 12_000
-"""Text a row: at most 48 KB in UTF-8, under the 64 KB that a row takes."""
+"""Characters per row of a result: in UTF-8 below the store's 64 KB a row."""
 
 PAGE_CHARACTERS = 600_000
-"""Text of one read of results, and of one listing: with its escapes well
-under the 1 MB that an answer or a transaction takes."""
+"""Characters per read or listing of results: with JSON escapes below the
+store's 1 MB per response or transaction."""
 
 MAX_DELETES = 90
-"""Rows removed in one transaction; the store takes a hundred."""
+"""Rows removed per transaction; the store's limit is a hundred."""
 
 QUOTA_RETRY_MS = 1_000
-"""Retry-After of a job that does not fit: items of some five seconds end
-all the time, and the oldest job's in about so long."""
+"""Retry-After of a job that exceeds the quota."""
 
 
 class OwnershipLost(Exception):
-    """Another node has taken the job over."""
+    """Another node has taken over the job."""
 
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """An item that is to be listed.
+    """A finished item whose result is to be listed.
 
     Attributes
     ----------
@@ -69,7 +67,7 @@
     outcome : Outcome
     text : str
     saved : bool
-        The store may hold a partial text of it, which goes with this.
+        Whether the store may hold its partial text, to be deleted then.
     """
 
     index: int
@@ -80,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """A listed result, as callers read it."""
+    """A listed result as returned to callers."""
 
     item_id: str
     outcome: Outcome
@@ -88,7 +86,7 @@
 
 
 class JobLedger:
-    """Reads and writes jobs; teaches `view` what it learns.
+    """Reads and writes jobs, and updates `view` with each row.
 
     Parameters
     ----------
@@ -117,7 +115,14 @@
     # Acceptance.
 
     async def accept(self, job: Job, payload: bytes, max_tokens: int) -> bool:
-        """Accept `job` for good, or raise; a repeat succeeds again.
+        """Accept `job` durably; idempotent.
+
+        Parameters
+        ----------
+        job : Job
+        payload : bytes
+        max_tokens : int
+            Quota of waiting tokens; 0 for none.
 
         Returns
         -------
@@ -127,15 +132,15 @@
         Raises
         ------
         RequestError
-            It does not fit, or the store does not answer. Only where it
-            is certain that the job was not accepted is it said so.
+            The job exceeds the quota, or the store is unavailable. `ran`
+            is `Ran.NO` only if the job was certainly not accepted.
         """
         if await self.find(job.job_id) is not None:
             return False
         try:
             await self._objects.put(job.payload, payload)
         except (PlatformUnavailable, WriteOutcomeUnknown) as error:
-            # Without a job row the object is never read.
+            # An object without a job row is never read.
             raise _store_unavailable(error, Ran.NO) from None
         for _ in range(CONFLICT_TRIES):
             if await self._try_accept(job, max_tokens):
@@ -176,10 +181,10 @@
         return True
 
     async def _resolve_accept(self, job, error):
-        """Find out whether a transaction without answer was applied.
+        """Resolve an acceptance whose outcome is unknown by a read.
 
-        One that is not there now may still land: "not run" cannot be said
-        any more, whatever the read shows.
+        A write that isn't visible yet may still be applied, so that a
+        missing row doesn't prove that the job was not accepted.
         """
         try:
             found = await self.find(job.job_id)
@@ -192,18 +197,18 @@
     # Reads.
 
     async def find(self, job_id: JobId, fresh: bool = False) -> Job | None:
-        """Return the job, or None if there is none for certain.
+        """Return the job, or None if there certainly is none.
 
         Parameters
         ----------
         job_id : JobId
         fresh : bool
-            Read the store even if the job is known here.
+            Read the store even if the view has the job.
 
         Raises
         ------
         RequestError
-            The store does not answer.
+            The store is unavailable.
         """
         job = self._view.job(job_id)
         if job is not None and not fresh:
@@ -215,7 +220,7 @@
         return self._view.job(job_id)
 
     async def refresh_progress(self, job: Job) -> Progress:
-        """Return the job's progress as the store has it now."""
+        """Read the job's progress from the store and return it."""
         row = await self._read(progress_key(job.job_id), Ran.NO)
         if row is not None:
             progress = decode_progress(row.value)
@@ -223,7 +228,7 @@
         return self._view.progress(job)
 
     async def results(self, job: Job, first: int) -> list[Result]:
-        """Return listed results from position `first`, a page of them."""
+        """Return one page of listed results from position `first`."""
         listed = self._view.progress(job).listed
         last, size = first, 0
         while last < len(listed):
@@ -243,7 +248,7 @@
         except PlatformUnavailable as error:
             raise _store_unavailable(error, Ran.NO) from None
         if len(rows) < wanted:
-            # The job is being removed, at this moment, by another node.
+            # Another node is removing the job.
             raise _store_unavailable("results are missing", Ran.NO)
         texts = iter(json.loads(row.value) for row in rows)
         results = []
@@ -254,7 +259,7 @@
         return results
 
     async def payload(self, job: Job) -> bytes:
-        """Return the items' requests, as they were submitted."""
+        """Return the items' requests as submitted."""
         try:
             data = await self._objects.get(job.payload)
         except PlatformUnavailable as error:
@@ -279,8 +284,7 @@
         Returns
         -------
         bool
-            Whether there is such a job; one that is not open stays as it
-            is.
+            Whether the job exists; one that is not open isn't changed.
         """
         for _ in range(CONFLICT_TRIES):
             row = await self._read(job_key(job_id), Ran.NO)
@@ -312,15 +316,15 @@
         return True
 
     async def remove(self, job: Job) -> None:
-        """Remove all that is kept of a job that is not open.
+        """Remove all rows and the payload of a job that is not open.
 
-        Its own row goes last: what an interrupted removal leaves behind
-        is found again by it.
+        The job's row is removed last, so that an interrupted removal can be
+        found and repeated.
 
         Raises
         ------
         PlatformUnavailable, WriteOutcomeUnknown, TransactionConflict
-            Something is left.
+            The removal is incomplete.
         """
         await self._objects.delete(job.payload)
         await self._remove_range(*partials_range(job.job_id))
@@ -346,7 +350,7 @@
     # Ownership and listing.
 
     async def take_over(self, job: Job) -> bool:
-        """Become the job's owner, unless another node was faster."""
+        """Become the job's owner; return False on a conflicting write."""
         known = self._view.progress_by_id.get(job.job_id)
         progress = replace(self._view.progress(job), owner=self.owner)
         return await self._write_progress(job, known, progress, ())
@@ -354,14 +358,14 @@
     async def list_results(self, job: Job, finished: list[Finished]) -> int:
         """List `finished` at the next positions; return how many.
 
-        Items that are listed already are left out.
+        Items that are listed already are skipped.
 
         Raises
         ------
         OwnershipLost
             Another node owns the job.
         PlatformUnavailable
-            Nothing was listed, or it is not known: try again.
+            Nothing was listed or the outcome is unknown; retry.
         """
         if self._view.progress(job).owner != self.owner:
             raise OwnershipLost
@@ -370,16 +374,16 @@
     async def list_as_former_owner(
         self, job: Job, finished: list[Finished]
     ) -> int:
-        """List what this node finished before another took the job over.
+        """List items that this node finished before it lost the job.
 
-        An item is listed once whoever lists it: the condition is the
-        version of the progress in which it is missing. The new owner finds
-        it there and stops its own run.
+        The write is conditional on the version of the progress row, so
+        that an item is listed once whichever node lists it. The new owner
+        then stops its own attempt.
 
         Raises
         ------
         PlatformUnavailable
-            Nothing was listed, or it is not known: try again.
+            Nothing was listed or the outcome is unknown; retry.
         """
         return await self._list(job, finished)
 
@@ -406,7 +410,9 @@
                 writes.append(Write(partial_key(job.job_id, each.index), None))
         progress = replace(progress, listed=(*progress.listed, *entries))
         if not await self._write_progress(job, known, progress, writes):
-            raise PlatformUnavailable("the progress was changed meanwhile")
+            raise PlatformUnavailable(
+                "another node has changed the progress row"
+            )
         return len(todo)
 
     async def _write_progress(self, job, known, progress, writes):
@@ -419,9 +425,9 @@
             await self._reread_progress(job)
             return False
         except WriteOutcomeUnknown as error:
-            # Read what is there: if it was applied, the items are found
-            # listed at the next try; if it lands later, its condition has
-            # failed by then or nothing else was written.
+            # If the write was applied, the retry skips the listed items. If
+            # it is still pending, its version condition prevents a second
+            # listing.
             await self._reread_progress(job)
             raise PlatformUnavailable(str(error)) from None
         self._view.update_progress(job.job_id, progress, versions[0])
@@ -461,7 +467,7 @@
 
 
 def _page(finished):
-    """Return as many of `finished` as fit one transaction."""
+    """Return the first of `finished` that fit into one transaction."""
     page, size = [], 0
     for each in finished:
         size += len(each.text)
--- a/dahliashunt/jobs/model.py
+++ b/dahliashunt/jobs/model.py
@@ -1,7 +1,7 @@
-"""What a job is, and how its rows are written.
+"""Data model of jobs and the encoding of their rows.
 
-A row that cannot be read raises `UnreadableRow`: it comes from another
-version or writer, and guessing would lose or double an item.
+A row that can't be decoded raises `UnreadableRow`, since a guess at its
+content could lose or repeat an item.
 """
 
 from dataclasses import dataclass
@@ -34,22 +34,22 @@
 
 
 class UnreadableRow(PlatformError):
-    """A row of ours does not hold what we write there."""
+    """A row doesn't have the expected format."""
 
 
 class JobState(enum.Enum):
-    """Where a job is in its life."""
+    """State of a job."""
 
     OPEN = "open"
     ENDED = "ended"
-    """Its caller ended it: what is listed stays, nothing more runs."""
+    """The caller ended it: listed results stay, no further item runs."""
 
     CLOSED = "closed"
     """Every item is listed."""
 
 
 class Outcome(enum.Enum):
-    """How an item ended."""
+    """Final outcome of an item."""
 
     DONE = "done"
     DEAD = "dead"
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Owner:
-    """One life of one node.
+    """One incarnation of a node.
 
     Attributes
     ----------
     node_id : NodeId
     boot : str
-        Drawn anew at each start, so that a restarted node does not take
-        itself for the one that lost everything.
+        Random for each start, so that a restarted node isn't taken for
+        the owner of its former jobs.
     """
 
     node_id: NodeId
@@ -79,7 +79,7 @@
     ----------
     item_id : ItemId
     tokens : int
-        Prompt tokens and most output tokens together.
+        Prompt tokens plus the limit of output tokens.
     """
 
     item_id: ItemId
@@ -99,11 +99,11 @@
     payload : str
         Name of the object that holds the items' requests.
     accepted_ms : int
-        By the store's clock, which all nodes share.
+        Time of acceptance by the store's clock.
     accepted_by : Owner
     state : JobState
     workspace : WorkspaceId
-        Whose job it is; empty where callers have no keys.
+        Workspace of the caller; empty if callers have no keys.
     """
 
     job_id: JobId
@@ -118,7 +118,7 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens of all items."""
+        """Sum of the items' tokens."""
         return sum(item.tokens for item in self.items)
 
 
@@ -129,10 +129,10 @@
     Attributes
     ----------
     index : int
-        Of the item in its job.
+        Index of the item in its job.
     outcome : Outcome
     pieces, size : int
-        Rows that hold its text, and the text's characters.
+        Number of rows and of characters of its text.
     """
 
     index: int
@@ -143,13 +143,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """How far a job is.
+    """Owner and listed results of a job.
 
     Attributes
     ----------
     owner : Owner
     listed : tuple of Listed
-        By position; positions never change.
+        Ordered by position; positions never change.
     """
 
     owner: Owner
@@ -162,7 +162,7 @@
 
 
 def encode_job(job: Job) -> str:
-    """Return the row's text of `job`."""
+    """Encode `job` as a row's text."""
     return json.dumps(
         {
             "id": job.job_id,
@@ -183,7 +183,7 @@
 
 
 def decode_job(text: str) -> Job:
-    """Return the job in a row's text."""
+    """Decode a job from a row's text."""
     try:
         fields = json.loads(text)
         return Job(
@@ -195,15 +195,15 @@
             accepted_ms=fields["accepted_ms"],
             accepted_by=Owner(*fields["accepted_by"]),
             state=JobState(fields["state"]),
-            # Rows of versions without workspaces have none.
+            # Rows of older versions have no workspace.
             workspace=WorkspaceId(fields.get("workspace", "")),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise UnreadableRow(f"job: {error!r}") from None
+        raise UnreadableRow(f"job row can't be decoded: {error!r}") from None
 
 
 def encode_progress(progress: Progress) -> str:
-    """Return the row's text of `progress`."""
+    """Encode `progress` as a row's text."""
     return json.dumps(
         {
             "owner": [progress.owner.node_id, progress.owner.incarnation],
@@ -217,7 +217,7 @@
 
 
 def decode_progress(text: str) -> Progress:
-    """Return the progress in a row's text."""
+    """Decode progress from a row's text."""
     try:
         fields = json.loads(text)
         return Progress(
@@ -228,4 +228,6 @@
             ),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise UnreadableRow(f"progress: {error!r}") from None
+        raise UnreadableRow(
+            f"progress row can't be decoded: {error!r}"
+        ) from None
--- a/dahliashunt/jobs/partials.py
+++ b/dahliashunt/jobs/partials.py
@@ -1,14 +1,11 @@
-"""Texts of unfinished items, kept for whoever takes their job over.
+"""Checkpoints of unfinished items for the next owner of their job.
 
-The failure it is for: a node dies, or all do, and each item that it ran
-begins anew, though replicas go on from any event. On a fleet without spare
-slots what was done of all open items is a second or two of everything,
-which nothing makes up.
+A replica can resume an item after any event. Without checkpoints all work
+on a lost node's unfinished items would be repeated.
 
-A row holds an item's whole text up to an event, so that it stands by
-itself: it may be older than what its owner has, or come late from an owner
-that was replaced, and the item still goes on from that event with just
-that text. It is no condition of anything; without it an item begins anew.
+A row holds an item's whole text up to an event. A row that is outdated, or
+written late by a former owner, is therefore consistent: the item resumes
+after that event. Without a row the item starts from the beginning.
 """
 
 from dataclasses import dataclass
@@ -27,15 +24,14 @@
 __all__ = ["Partial", "PartialTexts", "fits_row"]
 
 MAX_ROW_BYTES = 60_000
-"""A longer text is not kept: a row takes 64 KB."""
+"""Longest text that is saved; the store's limit is 64 KB per row."""
 
 MAX_TRANSACTION_BYTES = 600_000
 MAX_TRANSACTION_ROWS = 90
-"""Of one transaction, which takes 1 MB as the store writes bytes, and a
-hundred rows."""
+"""Limits of a transaction, below the store's 1 MB and hundred rows."""
 
 MAX_ITEMS = 1_000
-"""Rows of one job that are read: several times the items of a job."""
+"""Most rows that are read of one job."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +42,7 @@
     ----------
     job_id : JobId
     index : int
-        Of the item in its job.
+        Index of the item in its job.
     last_event : int
         The text holds the data of the events up to this one.
     text : str
@@ -59,7 +55,7 @@
 
 
 class PartialTexts:
-    """Keeps and finds partial texts.
+    """Saves and loads partial texts.
 
     Parameters
     ----------
@@ -72,10 +68,10 @@
         self._log = log
 
     async def save(self, partials: list[Partial]) -> list[Partial]:
-        """Keep `partials`; return those that the store has taken.
+        """Save `partials`; return those that were saved.
 
-        One call a part of the table, more where they are large. A call
-        that fails is logged, and its texts are saved at the next time.
+        Takes one or more transactions per shard. The first that fails is
+        logged and ends the save.
         """
         saved = []
         for group in _grouped(partials):
@@ -93,8 +89,8 @@
     async def load(self, job_id: JobId) -> dict[int, Partial]:
         """Return a job's partial texts by the index of their items.
 
-        None are returned where the store does not answer: the items
-        begin anew.
+        The result is empty if the store is unavailable: the items then
+        start from the beginning.
         """
         start, end = partials_range(job_id)
         try:
@@ -120,7 +116,7 @@
 
 
 def fits_row(partial: Partial) -> bool:
-    """Tell whether `partial` is small enough to be kept."""
+    """Tell whether `partial` is small enough for a row."""
     return len(_encoded(partial).encode()) <= MAX_ROW_BYTES
 
 
@@ -130,7 +126,7 @@
 
 
 def _grouped(partials):
-    """Yield groups that fit one transaction each, of one part each."""
+    """Yield groups of one shard each that fit into a transaction."""
     writes_by_shard = {}
     for partial in partials:
         value = _encoded(partial)
--- a/dahliashunt/jobs/payload.py
+++ b/dahliashunt/jobs/payload.py
@@ -1,4 +1,4 @@
-"""The port through which a job's submitted form is read."""
+"""Port for decoding the payload of a job."""
 
 from typing import Protocol
 
@@ -9,10 +9,10 @@
 
 
 class PayloadReader(Protocol):
-    """Reads the items' requests out of a job's payload."""
+    """Decodes the items' requests from a job's payload."""
 
     def calls(self, job: Job, payload: bytes) -> list[Call]:
-        """Return the items' calls, in the job's order.
+        """Return the items' calls in the job's order.
 
-        They run in the name of the job's workspace, whoever reads it.
+        The calls have the job's workspace.
         """
--- a/dahliashunt/jobs/takeover.py
+++ b/dahliashunt/jobs/takeover.py
@@ -1,4 +1,4 @@
-"""Take over open jobs whose owner is gone."""
+"""Takeover of open jobs whose owner is gone."""
 
 import asyncio
 import random
@@ -15,21 +15,20 @@
 __all__ = ["Takeover"]
 
 MAX_JITTER_MS = 400
-"""Most time by which nodes wait at random before they take a job over:
-the first one's row reaches the others within some 20 ms."""
+"""Longest random delay before a takeover, which avoids conflicts between
+nodes."""
 
 MAX_TAKEOVERS = 4
-"""Jobs that one node takes over in one look: the jobs of a lost node
-spread over those that are left."""
-
+"""Jobs that one node takes over per poll, so that a lost node's jobs are
+spread over the others."""
 
 LEAVE_TRIES = 3
-"""Tries to say that this node has left; the others find out by its silence
-where none is taken."""
+"""Tries to mark this node as gone; if all fail the others wait for the
+heartbeat timeout."""
 
 
 class Takeover:
-    """Renews this node's own row and watches the others'."""
+    """Renews this node's heartbeat and takes over jobs of lost nodes."""
 
     def __init__(
         self,
@@ -53,21 +52,19 @@
         self._left = False
 
     async def leave(self) -> None:
-        """Renew no more, take nothing over, and say so to the others."""
+        """Stop renewals and takeovers, and mark this node as gone."""
         self._left = True
         told = False
         for _ in range(LEAVE_TRIES):
-            # A renewal that was on its way may have been ahead.
+            # A renewal in progress may conflict with the write.
             told = told or await self._writer.leave()
         self._log.info("ownership_released", told=told)
 
     async def renew(self) -> None:
-        """Renew this node's row while it owns jobs, for ever.
+        """Renew this node's row while it owns jobs, until cancelled.
 
-        The first renewal is written in any case: it ends this node's
-        former life at once for everybody, instead of after the term.
-        With everything restarted, jobs go on within a second or two
-        instead of five.
+        The first renewal is written in any case: it ends this node's former
+        incarnation for all observers without waiting for the timeout.
         """
         announced = False
         while not self._left:
@@ -77,7 +74,7 @@
         await asyncio.Event().wait()
 
     async def watch(self) -> None:
-        """Look for orphaned jobs, for ever."""
+        """Take over orphaned jobs periodically until cancelled."""
         while not self._left:
             others = [
                 job
--- a/dahliashunt/jobs/tests/test_beats.py
+++ b/dahliashunt/jobs/tests/test_beats.py
@@ -1,4 +1,4 @@
-"""Who is taken for gone, and when."""
+"""Failure detection of job owners by heartbeat rows."""
 
 import asyncio
 
@@ -35,7 +35,7 @@
 
 
 async def poll_for(reader, clock, span_ms, owners, renew_row=None):
-    """Look once a period for `span_ms`, renewing by `renew_row` before."""
+    """Poll once a period for `span_ms`, each time after `renew_row`."""
     for _ in range(span_ms // HEARTBEAT_MS):
         if renew_row is not None:
             await renew_row()
@@ -65,10 +65,7 @@
 
 
 def test_a_row_that_stood_still_without_jobs_is_no_sign(table, clock, reader):
-    # A job is run by one node after the other, a takeover every half
-    # second, and its items are due before any ends. The owner wrote its
-    # row at its start and had no job for ten seconds; when it accepts one
-    # the others see a row that was unchanged for longer than the term.
+    # Guards against a takeover from an owner that had no job to renew for.
     async def main():
         writer = BeatWriter(table, OWNER, LOG)
         await writer.renew_row()
@@ -81,8 +78,7 @@
 
 
 def test_another_boot_ends_the_former_life_at_once(table, clock, reader):
-    # All processes are killed and restarted: jobs of the lives before
-    # must not wait for a term.
+    # Guards against a wait for the timeout after a restart of all nodes.
     async def main():
         await BeatWriter(table, OWNER, LOG).renew_row()
         await reader.poll({OWNER})
@@ -95,8 +91,7 @@
 
 
 def test_an_owner_that_has_left_is_gone_at_once(table, clock, reader):
-    # Machines are restarted one after the other. Their jobs waited for the
-    # term, though each of them knew that it was leaving.
+    # Guards against a wait for the timeout in a rolling restart.
     async def main():
         writer = BeatWriter(table, OWNER, LOG)
         await poll_for(reader, clock, 3_000, {OWNER}, writer.renew_row)
--- a/dahliashunt/jobs/tests/test_ledger.py
+++ b/dahliashunt/jobs/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Two owners of one job, and writes whose answers are lost."""
+"""Concurrent owners of one job, and writes with unknown outcomes."""
 
 import asyncio
 
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def make_ledger(table, objects):
-    """Return ``make(owner)``, the ledger of one node with its own view."""
+    """Return a function that makes an owner's ledger with its own view."""
     return lambda owner: JobLedger(table, objects, JobView(LOG), owner, LOG)
 
 
@@ -63,9 +63,7 @@
 
 
 def test_a_former_owner_hands_in_what_it_had_done(make_ledger):
-    # The store turns an entry away for seconds, its job is taken over, and
-    # its two items are done on both nodes. Each must be read once, from
-    # whichever node comes first.
+    # Guards against an item that two nodes finish and list twice.
     async def main():
         old, new = make_ledger(FIRST), make_ledger(SECOND)
         await old.accept(JOB, b"payload", 0)
@@ -85,8 +83,7 @@
 
 
 def test_a_replaced_owner_lists_nothing(make_ledger):
-    # An entry stands still for seconds; its job is taken over. When it
-    # wakes it lists what it holds: a caller would read an item twice.
+    # Guards against an item listed twice after an owner was suspended.
     async def main():
         old, new = make_ledger(FIRST), make_ledger(SECOND)
         await old.accept(JOB, b"payload", 0)
@@ -145,8 +142,7 @@
 def test_an_acceptance_without_trace_is_never_called_not_run(
     make_ledger, table
 ):
-    # The transaction was sent and its answer lost; nothing is there yet,
-    # but it may land any moment.
+    # Guards against "not run" for a transaction that may still be applied.
     async def main():
         ledger = make_ledger(FIRST)
         table.lose_writes = 1
--- a/dahliashunt/jobs/tests/test_quota.py
+++ b/dahliashunt/jobs/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Tokens held for workspaces, under every order of changes and losses."""
+"""Quotas of workspaces under random sequences of changes and lost writes."""
 
 import asyncio
 import contextlib
@@ -53,7 +53,10 @@
 
 
 class Quotas(RuleBasedStateMachine):
-    """Two nodes accept, resend, end, close and take over jobs."""
+    """Two nodes accept, resend, end, close and take over jobs.
+
+    The tokens of the open jobs of each workspace must equal its quota row.
+    """
 
     def __init__(self):
         super().__init__()
--- a/dahliashunt/jobs/view.py
+++ b/dahliashunt/jobs/view.py
@@ -1,4 +1,4 @@
-"""What this node knows of all jobs, from the feeds of their tables."""
+"""Local view of all jobs, from the change feeds of their tables."""
 
 import asyncio
 from dataclasses import dataclass
@@ -27,10 +27,10 @@
 
 
 class JobView:
-    """Jobs and progress by id, never older than what was seen before.
+    """Newest known versions of jobs and progress, by id.
 
-    It is both a listener of the feeds and taught by this node's own
-    transactions, which it must not forget when the feed is behind.
+    Updated by the change feeds and by this node's own transactions. A row
+    of the feed that is older than a known version is ignored.
 
     Parameters
     ----------
@@ -44,15 +44,15 @@
         self._open: set[JobId] = set()
         self._changed = asyncio.Event()
 
-    # Listener of the feeds.
+    # Listener of the change feeds.
 
     def replaced(self, rows) -> None:
-        """Take over rows; rows that are gone are found by reads."""
+        """Update the view with `rows`; others are kept."""
         for row in rows:
             self.changed(row)
 
     def changed(self, row: Row) -> None:
-        """Take over one row."""
+        """Update the view with one row."""
         try:
             if row.key.startswith(JOBS_PREFIX):
                 self.update_job(decode_job(row.value), row.version)
@@ -64,7 +64,7 @@
             self._log.error("row_unreadable", key=row.key, reason=str(error))
 
     def removed(self, key: str) -> None:
-        """Forget an expired job."""
+        """Remove an expired job from the view."""
         job_id = JobId(key.rsplit("/", 1)[1])
         if key.startswith(JOBS_PREFIX):
             self.job_by_id.pop(job_id, None)
@@ -73,12 +73,12 @@
             self.progress_by_id.pop(job_id, None)
 
     def outage_ended(self) -> None:
-        """Nothing to do: the feed goes on where it stopped."""
+        """Do nothing: the feed resumes where it stopped."""
 
-    # Knowledge.
+    # Updates and queries.
 
     def update_job(self, job: Job, version: int) -> None:
-        """Take over a job's row unless a newer one is known."""
+        """Update a job unless a version at least as new is known."""
         known = self.job_by_id.get(job.job_id)
         if known is not None and known.version >= version:
             return
@@ -92,7 +92,7 @@
     def update_progress(
         self, job_id: JobId, progress: Progress, version: int
     ) -> None:
-        """Take over a progress row unless a newer one is known."""
+        """Update progress unless a version at least as new is known."""
         known = self.progress_by_id.get(job_id)
         if known is not None and known.version >= version:
             return
@@ -104,29 +104,29 @@
         self._changed = asyncio.Event()
 
     def jobs(self) -> list[Job]:
-        """Return every job that is known here, open or not."""
+        """Return all known jobs, open or not."""
         return [known.value for known in self.job_by_id.values()]
 
     def job(self, job_id: JobId) -> Job | None:
-        """Return the job, if it is known here."""
+        """Return the job, or None if it isn't known."""
         known = self.job_by_id.get(job_id)
         return known.value if known else None
 
     def progress(self, job: Job) -> Progress:
-        """Return the job's progress as known here."""
+        """Return the job's newest known progress."""
         known = self.progress_by_id.get(job.job_id)
         return known.value if known else Progress(job.accepted_by)
 
     def open_jobs(self) -> list[Job]:
-        """Return the jobs that are open."""
+        """Return the known open jobs."""
         return [self.job_by_id[job_id].value for job_id in self._open]
 
     def is_open(self, job_id: JobId) -> bool:
-        """Tell whether the job is open, as far as is known here."""
+        """Tell whether the job is known to be open."""
         return job_id in self._open
 
     def finished_tokens(self, route: str, workspace: WorkspaceId) -> int:
-        """Return tokens of listed items of a workspace's open jobs."""
+        """Return the tokens of listed items in a workspace's open jobs."""
         total = 0
         for job in self.open_jobs():
             if job.route == route and job.workspace == workspace:
--- a/dahliashunt/jobs/worker.py
+++ b/dahliashunt/jobs/worker.py
@@ -1,8 +1,8 @@
-"""Run the items of the jobs that this node owns, and list their results.
+"""Execution of the items of the jobs that this node owns.
 
-The waiting item that `ItemQueue` names asks for a slot; when none is to be
-had the worker pauses for a moment. A revoked item waits again with what it
-has.
+The first item of `ItemQueue` requests a slot; if none is free the worker
+retries after a short delay. A revoked item is queued again and keeps its
+text.
 """
 
 import asyncio
@@ -35,19 +35,17 @@
 __all__ = ["JobWorker"]
 
 SLOT_RETRY_MS = (40, 90)
-"""Between asks while every slot is taken: a slot of a busy fleet of five
-replicas frees every 20 ms, and each ask costs a datagram a replica."""
+"""Bounds of the random delay between slot requests while none is free."""
 
 VIEW_POLL_MS = 250
-"""Between looks for jobs that were taken over or ended, at the latest."""
+"""Longest time between checks of the view for changed jobs."""
 
 ABANDON_MARGIN_MS = 500
-"""Items are given up so much after the route's time: the caller's count
-started up to a round trip before ours."""
+"""Grace after an item's abandon time, for the caller's round trip."""
 
 MAX_HELD_CHARACTERS = 8_000_000
-"""Text of unlisted results beyond which no item starts: while the store
-is away a node of 128 MB must not fill up."""
+"""Size of unlisted results above which no item starts; bounds the memory
+used while the store is unavailable."""
 
 MAX_RUNNING_ITEMS = 128
 """Items that one node runs at once."""
@@ -67,7 +65,7 @@
     payloads : PayloadReader
     partials : PartialTexts
     store_now_ms : callable
-        The store's clock, as known here.
+        Returns this node's estimate of the store's clock.
     """
 
     def __init__(
@@ -108,7 +106,7 @@
         return bool(self._run_by_id)
 
     async def run(self) -> None:
-        """Follow the view and start items, for ever."""
+        """Follow the view and start items until cancelled."""
         starter = asyncio.create_task(self._start_items())
         try:
             while True:
@@ -124,7 +122,7 @@
                 run.stop()
 
     def unfinished(self) -> list[tuple[JobId, ItemRun]]:
-        """Return the items of this node's jobs that are not done."""
+        """Return the unfinished items of this node's jobs."""
         return [
             (job_id, item)
             for job_id, run in self._run_by_id.items()
@@ -132,9 +130,9 @@
         ]
 
     def leave(self) -> None:
-        """Stop every run for good; what was done is handed in.
+        """Stop all jobs for good and list their finished items.
 
-        The texts of unfinished items are to be saved before.
+        Save the texts of unfinished items before.
         """
         self._leaving = True
         for job_id in list(self._run_by_id):
@@ -157,12 +155,10 @@
             self._run_by_id[job_id].stop_listed_items()
 
     def release_job(self, job_id: JobId) -> None:
-        """Stop a job that is not ours; hand in what was done of it.
+        """Stop a job that this node doesn't own; list its finished items.
 
-        The failure it is for: an owner that the store turns away runs its
-        items to their ends, while another node takes its jobs over and
-        begins each item anew. When the store is back, what is done here
-        comes seconds before the new owner has it, often just in time.
+        A node that lost the job during a store outage may have finished
+        items that the new owner still runs.
         """
         run = self._run_by_id.pop(job_id, None)
         if run is None:
@@ -211,7 +207,7 @@
         return [each for each in finished if each.index not in listed]
 
     def forget(self, job_id: JobId) -> None:
-        """Drop a job that failed; it starts anew at the next look."""
+        """Drop a failed job; the next view update starts it again."""
         self._run_by_id.pop(job_id, None)
 
     def wait_for_slot(self, job_run, item: ItemRun) -> None:
@@ -252,7 +248,7 @@
             return
 
     def _next_ready(self):
-        """Take the item that goes next out of those that may run now."""
+        """Remove and return the first waiting item that is ready."""
         if self._running >= MAX_RUNNING_ITEMS:
             return None
         if self.held_characters > MAX_HELD_CHARACTERS:
@@ -274,18 +270,22 @@
         return found
 
     async def _reserve(self, entry):
-        """Return a place for an item, or None if there is no slot now."""
+        """Return a reservation, None without a slot, or `_NOT_NEEDED`."""
         job_run, item = entry.work
         now_ms = self.clock.now_ms()
         route = self.node.catalog.match(job_run.job.host, item.call.target)
         if isinstance(route, BrokenRoute):
-            # What can't be read has not ended: its items wait.
+            # The route still exists but can't be read: the item waits.
             return None
         if route is None or route.kind is not RouteKind.BATCH:
-            job_run.finish(item, Outcome.DEAD, "its route has ended")
+            job_run.finish(
+                item, Outcome.DEAD, "the batch route no longer exists"
+            )
             return _NOT_NEEDED
         if now_ms >= item.abandon_ms + ABANDON_MARGIN_MS:
-            job_run.finish(item, Outcome.DEAD, "it waited too long")
+            job_run.finish(
+                item, Outcome.DEAD, "the time limit of its route has passed"
+            )
             return _NOT_NEEDED
         service = route.service_for(item.call.request_id)
         parts = item.call.shared_parts
@@ -304,8 +304,8 @@
                 requirements, item.call.request_id, with_agents
             )
         except RequestError:
-            # No slot or no replica: not logged, since a full fleet answers
-            # so to every ask; the waiting items are counted instead.
+            # Not logged, since it is usual in a full fleet; the gauge shows
+            # the waiting items.
             self.node.metrics.gauge("items_waiting", len(self._waiting) + 1)
             return None
 
@@ -341,15 +341,19 @@
             job_run.finish(item, Outcome.DONE, "")
             return
         if end in (ItemEnd.LOST, ItemEnd.FAILED, ItemEnd.NOT_RUN):
-            # Also where it did not run: the address may be another
-            # replica's by now, and its refusal comes within a millisecond.
+            # A refusal counts as well: the address may belong to another
+            # replica by now.
             suspicion.failed(incarnation, self.clock.now_ms())
         route = self.node.catalog.match(job_run.job.host, item.call.target)
         most = route.max_attempts if isinstance(route, Route) else 1
         if end is ItemEnd.IMPOSSIBLE:
-            job_run.finish(item, Outcome.DEAD, "it can never be done")
+            job_run.finish(
+                item, Outcome.DEAD, "the replica rejected it with status 422"
+            )
         elif item.failures >= most:
-            job_run.finish(item, Outcome.DEAD, "its attempts are used up")
+            job_run.finish(
+                item, Outcome.DEAD, "all attempts of its route have failed"
+            )
         else:
             self.wait_for_slot(job_run, item)
 
@@ -371,4 +375,4 @@
 
 
 _NOT_NEEDED = object()
-"""Stands for the place of an item that no longer needs one."""
+"""Sentinel: the item has ended and needs no reservation."""
