--- a/dahliashunt/adapters/clock/virtual.py
+++ b/dahliashunt/adapters/clock/virtual.py
@@ -39,16 +39,16 @@
     async def advance(self, by_ms: int) -> None:
         """Move time on, waking sleepers in order on the way."""
         until_ms = self._now_ms + by_ms
-        await _settle()
+        await _run_ready_tasks()
         while self._sleepers and self._sleepers[0][0] <= until_ms:
             self._now_ms, _, done = heapq.heappop(self._sleepers)
             if not done.done():
                 done.set_result(None)
-            await _settle()
+            await _run_ready_tasks()
         self._now_ms = until_ms
 
 
-async def _settle(rounds: int = 20):
+async def _run_ready_tasks(rounds: int = 20):
     """Let tasks that are ready run."""
     for _ in range(rounds):
         await asyncio.sleep(0)
--- a/dahliashunt/adapters/engine/exchange.py
+++ b/dahliashunt/adapters/engine/exchange.py
@@ -14,10 +14,10 @@
 from dahliashunt.errors import EngineUnreachable
 from dahliashunt.ports.engine import EngineCall
 
-__all__ = ["EngineExchange", "kept_headers", "sent_headers"]
+__all__ = ["EngineExchange", "request_headers", "response_headers"]
 
 _ATTEMPT_HEADER = "x-request-id"
-_OF_ONE_CONNECTION = frozenset(
+_CONNECTION_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -31,29 +31,33 @@
         "upgrade",
     }
 )
-_NOT_SENT = _OF_ONE_CONNECTION | {"host", _ATTEMPT_HEADER}
-_NOT_KEPT = _OF_ONE_CONNECTION | {"date", "server", _ATTEMPT_HEADER}
+_DROPPED_REQUEST_HEADERS = _CONNECTION_HEADERS | {"host", _ATTEMPT_HEADER}
+_DROPPED_RESPONSE_HEADERS = _CONNECTION_HEADERS | {
+    "date",
+    "server",
+    _ATTEMPT_HEADER,
+}
 
 
-def kept_headers(headers) -> dict[str, str]:
+def response_headers(headers) -> dict[str, str]:
     """Return the headers that are worth passing on, in lower case.
 
     Repeated ones are joined, which all but Set-Cookie allow.
 
     Examples
     --------
-    >>> kept_headers({"Connection": "close", "Retry-After": "2"})
+    >>> response_headers({"Connection": "close", "Retry-After": "2"})
     {'retry-after': '2'}
     """
     kept = {}
     for name, value in headers.items():
         name = name.lower()
-        if name not in _NOT_KEPT:
+        if name not in _DROPPED_RESPONSE_HEADERS:
             kept[name] = f"{kept[name]}, {value}" if name in kept else value
     return kept
 
 
-def sent_headers(call: EngineCall, **defaults: str) -> dict[str, str]:
+def request_headers(call: EngineCall, **defaults: str) -> dict[str, str]:
     """Return the headers with which a call goes to its back end.
 
     Parameters
@@ -72,14 +76,14 @@
     Examples
     --------
     >>> call = EngineCall("a1", "POST", "/", b"", {"Host": "x", "Accept": "*"})
-    >>> sent_headers(call, content_type="text/plain")
+    >>> request_headers(call, content_type="text/plain")
     {'content-type': 'text/plain', 'accept': '*', 'x-request-id': 'a1'}
     """
     headers = {
         name.replace("_", "-"): value for name, value in defaults.items()
     }
     for name, value in call.headers.items():
-        if name.lower() not in _NOT_SENT:
+        if name.lower() not in _DROPPED_REQUEST_HEADERS:
             headers[name.lower()] = value
     headers[_ATTEMPT_HEADER] = call.attempt_id
     return headers
--- a/dahliashunt/adapters/engine/http_engine.py
+++ b/dahliashunt/adapters/engine/http_engine.py
@@ -9,8 +9,8 @@
 from dahliashunt.adapters.engine.dialects import DIALECTS
 from dahliashunt.adapters.engine.dialects import ENGINE_LIMITS
 from dahliashunt.adapters.engine.exchange import EngineExchange
-from dahliashunt.adapters.engine.exchange import kept_headers
-from dahliashunt.adapters.engine.exchange import sent_headers
+from dahliashunt.adapters.engine.exchange import request_headers
+from dahliashunt.adapters.engine.exchange import response_headers
 from dahliashunt.adapters.table.sessions import HttpLimits
 from dahliashunt.errors import EngineError
 from dahliashunt.errors import EngineLost
@@ -25,7 +25,7 @@
 from dahliashunt.ports.engine import LoadedModel
 from dahliashunt.ports.engine import Order
 
-__all__ = ["HttpEngine", "whole_events"]
+__all__ = ["HttpEngine", "complete_events"]
 
 _SSE = "text/event-stream"
 _BLANK_LINE = b"\n\n"
@@ -70,9 +70,9 @@
             call.path,
             timeout_ms,
             data=call.body,
-            headers=sent_headers(call, content_type="application/json"),
+            headers=request_headers(call, content_type="application/json"),
         ) as response:
-            async for events in _answer(response):
+            async for events in _response_events(response):
                 yield events
 
     async def resume(
@@ -93,31 +93,33 @@
                 raise StreamUnknown(attempt_id)
             if response.status != 200:
                 raise EngineLost(f"resume: answered {response.status}")
-            async for events in _answer(response):
+            async for events in _response_events(response):
                 yield events
 
     async def streams(self) -> tuple[AttemptId, ...]:
         """Return the attempts whose streams the engine still knows."""
-        found = await self._manage("GET", "/engine/streams")
+        found = await self._call_management("GET", "/engine/streams")
         return tuple(found["streams"])
 
     async def cancel(self, attempt_id: AttemptId) -> None:
         """Stop a stream; no error if it is gone."""
-        await self._manage("DELETE", _stream_path(attempt_id), _NOT_FOUND)
+        await self._call_management(
+            "DELETE", _stream_path(attempt_id), _NOT_FOUND
+        )
 
     async def export_kv(self, attempt_id: AttemptId) -> str | None:
         """Stop a stream and keep its KV cache; return a handle, or None."""
         path = f"{_stream_path(attempt_id)}/export"
-        found = await self._manage("POST", path, _NOT_FOUND)
+        found = await self._call_management("POST", path, _NOT_FOUND)
         return found and found["handle"]
 
     async def load(self) -> EngineLoad:
         """Return the engine's lagging load report."""
-        return EngineLoad(**await self._manage("GET", "/engine/load"))
+        return EngineLoad(**await self._call_management("GET", "/engine/load"))
 
     async def state(self) -> EngineState:
         """Return what the engine has loaded and its role."""
-        found = await self._manage("GET", "/engine/state")
+        found = await self._call_management("GET", "/engine/state")
         return EngineState(
             incarnation=found["incarnation"],
             role=found["role"],
@@ -129,7 +131,7 @@
 
     async def order(self, order: Order) -> None:
         """Ask for an end state; raises `StaleFence` where it is checked."""
-        answer = await self._manage(
+        answer = await self._call_management(
             "POST", "/engine/orders", _CONFLICT, json=asdict(order)
         )
         if answer is None:
@@ -138,14 +140,14 @@
     async def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
         """Return cache events with ``seq > after``, late and with gaps."""
         path = f"/engine/cache_events?after={after}"
-        found = await self._manage("GET", path)
+        found = await self._call_management("GET", path)
         return tuple(CacheEvent(**each) for each in found["events"])
 
     async def close(self):
         """Close all connections that no call is using."""
         await self._exchange.close()
 
-    async def _manage(self, method, path, none_status=0, **content):
+    async def _call_management(self, method, path, none_status=0, **content):
         """Make a management call; return its JSON, None on `none_status`.
 
         Raises
@@ -165,19 +167,19 @@
             raise EngineError(f"{path}: {error}") from error
 
 
-async def _answer(response) -> AsyncIterator[EngineEvents]:
+async def _response_events(response) -> AsyncIterator[EngineEvents]:
     """Yield an answer: a stream by its events, anything else whole."""
-    headers = kept_headers(response.headers)
+    headers = response_headers(response.headers)
     if response.content_type != _SSE:
         data = await response.read()
         yield EngineEvents(data, 1, response.status, headers)
         return
-    async for data in whole_events(response.content):
+    async for data in complete_events(response.content):
         count = data.count(_BLANK_LINE)
         yield EngineEvents(data, count, response.status, headers)
 
 
-async def whole_events(content) -> AsyncIterator[bytes]:
+async def complete_events(content) -> AsyncIterator[bytes]:
     """Yield all whole events of each read.
 
     An event that a read cuts is kept for the next one.
--- a/dahliashunt/adapters/engine/plain_service.py
+++ b/dahliashunt/adapters/engine/plain_service.py
@@ -6,8 +6,8 @@
 from dahliashunt.adapters.engine.dialects import DIALECTS
 from dahliashunt.adapters.engine.dialects import SERVICE_LIMITS
 from dahliashunt.adapters.engine.exchange import EngineExchange
-from dahliashunt.adapters.engine.exchange import kept_headers
-from dahliashunt.adapters.engine.exchange import sent_headers
+from dahliashunt.adapters.engine.exchange import request_headers
+from dahliashunt.adapters.engine.exchange import response_headers
 from dahliashunt.adapters.table.sessions import HttpLimits
 from dahliashunt.errors import StreamUnknown
 from dahliashunt.ids import AttemptId
@@ -58,10 +58,10 @@
                 call.path,
                 timeout_ms,
                 data=call.body,
-                headers=sent_headers(call),
+                headers=request_headers(call),
                 skip_auto_headers=("Content-Type",),
             ) as response:
-                async for events in _pieces(response):
+                async for events in _body_chunks(response):
                     yield events
         finally:
             self._running -= 1
@@ -118,9 +118,9 @@
         await self._exchange.close()
 
 
-async def _pieces(response) -> AsyncIterator[EngineEvents]:
+async def _body_chunks(response) -> AsyncIterator[EngineEvents]:
     status = response.status
-    headers = kept_headers(response.headers)
+    headers = response_headers(response.headers)
     empty = True
     async for data in response.content.iter_any():
         empty = False
--- a/dahliashunt/adapters/engine/tests/test_engine_adapters.py
+++ b/dahliashunt/adapters/engine/tests/test_engine_adapters.py
@@ -9,7 +9,7 @@
 import pytest
 
 from dahliashunt.adapters.engine import create_engine_adapter
-from dahliashunt.adapters.engine.http_engine import whole_events
+from dahliashunt.adapters.engine.http_engine import complete_events
 from dahliashunt.adapters.table import HttpLimits
 from dahliashunt.errors import EngineError
 from dahliashunt.errors import EngineLost
@@ -24,15 +24,17 @@
 from dahliashunt.standins import expected_text
 from dahliashunt.standins import serve_role
 
-SHORT = HttpLimits(connect_ms=500, idle_ms=200, total_ms=1000, connections=0)
-FOREVER = 10_000
+SHORT_LIMITS = HttpLimits(
+    connect_ms=500, idle_ms=200, total_ms=1000, connections=0
+)
+MANY_TOKENS = 10_000
 TIMEOUT_MS = 20_000
 
 
 @contextlib.asynccontextmanager
 async def back_end(dialect="openai", role="engine", **options):
     async with serve_role(role, **options) as standin:
-        engine = create_engine_adapter(dialect, standin.url, SHORT)
+        engine = create_engine_adapter(dialect, standin.url, SHORT_LIMITS)
         yield engine, standin
         await engine.close()
 
@@ -156,7 +158,7 @@
     # as it is, the caller takes half an answer for a whole one.
     async def test():
         async with back_end() as (engine, standin):
-            answer = engine.call(completion("a", FOREVER), TIMEOUT_MS)
+            answer = engine.call(completion("a", MANY_TOKENS), TIMEOUT_MS)
             await anext(answer)
             await engine.cancel("a")
             with pytest.raises(EngineLost):
@@ -229,7 +231,7 @@
         options = {"role": role, "dialect": dialect, "crash": "restart"}
         async with back_end(**options) as (engine, _):
             before = await engine.state()
-            bystander = engine.call(completion("a", FOREVER), TIMEOUT_MS)
+            bystander = engine.call(completion("a", MANY_TOKENS), TIMEOUT_MS)
             await anext(bystander)
             call = completion("b", 1, prompt=mark)
             with pytest.raises(EngineLost):
@@ -362,12 +364,12 @@
     body = b"data: 1\n\ndata: two\n\ndata: {}\n\ndata: [DONE]\n\n"
     edges = [0, *cuts, len(body)]
     reads = [body[a:b] for a, b in itertools.pairwise(edges) if a < b]
-    found = asyncio.run(read_all(whole_events(Reads(reads))))
+    found = asyncio.run(read_all(complete_events(ChunkedBody(reads))))
     assert b"".join(found) == body
     assert all(data.endswith(b"\n\n") for data in found)
 
 
-class Reads:
+class ChunkedBody:
     """A body that comes in the given reads."""
 
     def __init__(self, reads):
--- a/dahliashunt/adapters/http1/connection.py
+++ b/dahliashunt/adapters/http1/connection.py
@@ -28,12 +28,12 @@
 """Unacknowledged bytes for so long end a connection: a peer without power
 answers nothing, and the system's own limit is minutes."""
 
-PROBE_IDLE_S = 1
-PROBE_EVERY_S = 1
-PROBES = 2
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
 """Keep-alive probes find a silent peer in about 3 s."""
 
-PAUSE_BYTES = 262_144
+READ_HIGH_WATER_BYTES = 262_144
 """Unread bytes at which the socket is left unread: bounds the memory that
 one fast sender before a slow reader can take."""
 
@@ -101,7 +101,7 @@
         self.keep_alive_ms = None
         self.transport = None
         self._parser = None
-        self._box = None
+        self._mailbox = None
         self._accept = None
         self._headers = []
         self._framed = False
@@ -117,7 +117,7 @@
 
     def data_received(self, data):
         """Parse; bytes outside an exchange end the connection."""
-        if self._box is None:
+        if self._mailbox is None:
             self.abort()
             return
         try:
@@ -127,7 +127,7 @@
 
     def eof_received(self):
         """Take an orderly close as the end of an answer without length."""
-        if self._box is not None and self._headers is None:
+        if self._mailbox is not None and self._headers is None:
             self._finish(End.BROKEN if self._framed else End.CLOSED)
         return False
 
@@ -140,7 +140,7 @@
 
     def on_message_begin(self):
         """Refuse a second answer to one request."""
-        if self._box is None:
+        if self._mailbox is None:
             self.abort()
             return
         self._headers = []
@@ -157,7 +157,7 @@
 
     def on_headers_complete(self):
         """Hand out the head, or skip an answer to another request."""
-        if self._box is None:
+        if self._mailbox is None:
             return
         status = self._parser.get_status_code()
         head = ResponseHead(status, tuple(self._headers))
@@ -171,16 +171,16 @@
             # the answer that is waited for still follows.
             self.usable = False
             return
-        self._read_reuse(head)
-        self._box.put(head)
+        self._apply_connection_headers(head)
+        self._mailbox.put(head)
 
     def on_body(self, data):
         """Hand out a part of the body."""
-        if self._box is None or self._skipping:
+        if self._mailbox is None or self._skipping:
             return
-        self._box.put(data)
+        self._mailbox.put(data)
         self._unread += len(data)
-        if self._unread > PAUSE_BYTES and not self._paused:
+        if self._unread > READ_HIGH_WATER_BYTES and not self._paused:
             self._paused = True
             self.transport.pause_reading()
 
@@ -189,10 +189,10 @@
         if self._skipping:
             self._skipping = False
             return
-        if self._box is not None:
+        if self._mailbox is not None:
             self._finish(End.WHOLE if self._framed else End.CLOSED)
 
-    def _read_reuse(self, head):
+    def _apply_connection_headers(self, head):
         if (head.get("connection") or "").lower() == "close":
             self.usable = False
         if head.status in _NO_BODY:
@@ -207,9 +207,9 @@
     def _finish(self, end):
         if end is not End.WHOLE:
             self.usable = False
-        box, self._box = self._box, None
-        if box is not None:
-            box.put(end)
+        mailbox, self._mailbox = self._mailbox, None
+        if mailbox is not None:
+            mailbox.put(end)
         if not self.usable:
             self.abort()
 
@@ -225,18 +225,18 @@
             Given a `ResponseHead`, tells whether it answers this request.
         """
         self._parser = httptools.HttpResponseParser(self)
-        self._box = Mailbox()
+        self._mailbox = Mailbox()
         self._accept = accept or (lambda head: True)
         self._headers = []
         self._skipping = False
         self._unread = 0
         self.used += 1
-        box = self._box
-        if not self._is_written(request):
+        mailbox = self._mailbox
+        if not self._try_write(request):
             self._finish(End.UNSENT)
-        return box
+        return mailbox
 
-    def _is_written(self, request):
+    def _try_write(self, request):
         """Write `request`; tell whether the system took any of it.
 
         The failure it guards against: a replica that has gone resets the
@@ -253,7 +253,7 @@
     def taken(self, size: int) -> None:
         """Say that `size` bytes of the body were used; reads go on."""
         self._unread -= size
-        if self._paused and self._unread <= PAUSE_BYTES // 2:
+        if self._paused and self._unread <= READ_HIGH_WATER_BYTES // 2:
             self._paused = False
             if not self.transport.is_closing():
                 self.transport.resume_reading()
@@ -283,16 +283,16 @@
             )
     except (OSError, TimeoutError) as error:
         raise ConnectFailed(f"{host}:{port}: {error!r}") from None
-    _limit_silence(connection.transport.get_extra_info("socket"))
+    _set_socket_timeouts(connection.transport.get_extra_info("socket"))
     return connection
 
 
-def _limit_silence(sock):
+def _set_socket_timeouts(sock):
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
         (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     )
     for level, option, value in options:
--- a/dahliashunt/adapters/http1/whole.py
+++ b/dahliashunt/adapters/http1/fetch.py
@@ -7,11 +7,11 @@
 from dahliashunt.adapters.http1.connection import ResponseHead
 from dahliashunt.ports import Clock
 
-__all__ = ["WholeResponse", "exchange_whole"]
+__all__ = ["HttpResponse", "exchange_whole"]
 
 
 @dataclass(frozen=True, slots=True)
-class WholeResponse:
+class HttpResponse:
     """An answer with its complete body."""
 
     head: ResponseHead
@@ -20,18 +20,18 @@
 
 async def exchange_whole(
     connection: HttpConnection, request: bytes, clock: Clock, limit_ms: int
-) -> WholeResponse | None:
+) -> HttpResponse | None:
     """Send `request`; return the answer, or None if none came whole.
 
     A connection that gave no whole answer in `limit_ms` is closed: what
     it may still deliver would be taken for the answer to a later request.
     """
-    box = connection.start(request)
+    mailbox = connection.start(request)
     until_ms = clock.now_ms() + limit_ms
     head = None
     parts = []
     while True:
-        events = await box.take(max(1, until_ms - clock.now_ms()))
+        events = await mailbox.take(max(1, until_ms - clock.now_ms()))
         if not events:
             connection.abort()
             return None
@@ -41,7 +41,7 @@
             elif isinstance(event, End):
                 if event is End.BROKEN or head is None:
                     return None
-                return WholeResponse(head, b"".join(parts))
+                return HttpResponse(head, b"".join(parts))
             else:
                 connection.taken(len(event))
                 parts.append(event)
--- a/dahliashunt/adapters/http1/pool.py
+++ b/dahliashunt/adapters/http1/pool.py
@@ -6,19 +6,19 @@
 
 __all__ = ["ConnectionPool"]
 
-CONNECT_MS = 400
+CONNECT_TIMEOUT_MS = 400
 """Most time for a connection: some tens of round trips within a region,
 and under the second after which a lost opening packet is sent again."""
 
-IDLE_MS = 4_000
+MAX_IDLE_MS = 4_000
 """Longest idle time before reuse where the peer states none: most servers
 close after 5 s or more."""
 
-MARGIN_MS = 500
+KEEP_ALIVE_MARGIN_MS = 500
 """Subtracted from the idle time that a peer states, since it counts from
 its own side and a request may cross its close."""
 
-MAX_IDLE = 16
+MAX_IDLE_PER_ADDRESS = 16
 """Idle connections kept an address: one replica's slots, twice."""
 
 
@@ -31,14 +31,14 @@
     connect_ms : int
     """
 
-    def __init__(self, clock: Clock, connect_ms: int = CONNECT_MS):
+    def __init__(self, clock: Clock, connect_ms: int = CONNECT_TIMEOUT_MS):
         self._clock = clock
         self._connect_ms = connect_ms
         self._idle_by_address: dict[tuple[str, int], list] = {}
         self.opened = 0
 
     async def take(
-        self, address: tuple[str, int], idle_ms: int = IDLE_MS
+        self, address: tuple[str, int], idle_ms: int = MAX_IDLE_MS
     ) -> HttpConnection:
         """Return a connection that was idle `idle_ms` at most, or new.
 
@@ -62,14 +62,16 @@
         """Tell whether `take` would return a connection that stands."""
         now_ms = self._clock.now_ms()
         idle = self._idle_by_address.get(address, ())
-        return any(self._is_fresh(each, now_ms, IDLE_MS) for each in idle)
+        return any(self._is_fresh(each, now_ms, MAX_IDLE_MS) for each in idle)
 
     def _is_fresh(self, connection, now_ms, idle_ms):
         if not connection.usable or connection.transport.is_closing():
             return False
         limit_ms = idle_ms
         if connection.keep_alive_ms is not None:
-            limit_ms = min(limit_ms, connection.keep_alive_ms - MARGIN_MS)
+            limit_ms = min(
+                limit_ms, connection.keep_alive_ms - KEEP_ALIVE_MARGIN_MS
+            )
         return now_ms - connection.idle_since_ms < limit_ms
 
     def give_back(
@@ -82,7 +84,7 @@
         connection.idle_since_ms = self._clock.now_ms()
         idle = self._idle_by_address.setdefault(address, [])
         idle.append(connection)
-        if len(idle) > MAX_IDLE:
+        if len(idle) > MAX_IDLE_PER_ADDRESS:
             idle.pop(0).abort()
 
     def sweep(self) -> None:
@@ -91,7 +93,7 @@
         for address, idle in list(self._idle_by_address.items()):
             kept = []
             for connection in idle:
-                if self._is_fresh(connection, now_ms, IDLE_MS):
+                if self._is_fresh(connection, now_ms, MAX_IDLE_MS):
                     kept.append(connection)
                 else:
                     connection.abort()
--- a/dahliashunt/adapters/http1/tests/test_connection.py
+++ b/dahliashunt/adapters/http1/tests/test_connection.py
@@ -56,16 +56,16 @@
 async def exchange(address, accept=None):
     """Return the events of one exchange, up to its end."""
     connection = await open_connection(*address, 1000)
-    box = connection.start(REQUEST, accept)
+    mailbox = connection.start(REQUEST, accept)
     events = []
     while not (events and isinstance(events[-1], End)):
-        events += await box.take(5000)
+        events += await mailbox.take(5000)
     return events, connection
 
 
-def play(*parts, accept=None, **how):
+def run_exchange(*parts, accept=None, **server_options):
     async def main():
-        async with server(*parts, **how) as address:
+        async with server(*parts, **server_options) as address:
             events, connection = await exchange(address, accept)
             usable = connection.usable
             connection.abort()
@@ -79,19 +79,19 @@
 
 
 def test_a_whole_answer_leaves_the_connection_usable():
-    events, usable = play(head(content_length=2) + b"ok")
+    events, usable = run_exchange(head(content_length=2) + b"ok")
     assert events[0].status == 200
     assert body(events) == b"ok"
     assert (events[-1], usable) == (End.WHOLE, True)
 
 
 def test_a_cut_answer_is_broken():
-    events, usable = play(head(content_length=9) + b"ok", close=True)
+    events, usable = run_exchange(head(content_length=9) + b"ok", close=True)
     assert (events[-1], usable) == (End.BROKEN, False)
 
 
 def test_an_answer_without_length_ends_with_its_connection():
-    events, usable = play(head() + b"ok", close=True)
+    events, usable = run_exchange(head() + b"ok", close=True)
     assert body(events) == b"ok"
     assert (events[-1], usable) == (End.CLOSED, False)
 
@@ -99,7 +99,7 @@
 def test_an_answer_without_length_that_is_reset_is_broken():
     # A reset may have thrown away bytes on the way: such an answer must
     # not be taken for whole.
-    events, _ = play(head() + b"ok", reset=True)
+    events, _ = run_exchange(head() + b"ok", reset=True)
     assert events[-1] is End.BROKEN
 
 
@@ -115,8 +115,8 @@
             peer, _ = listening.accept()
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             peer.close()
-            box = connection.start(REQUEST)
-            return await box.take(5000), connection.usable
+            mailbox = connection.start(REQUEST)
+            return await mailbox.take(5000), connection.usable
 
     assert asyncio.run(main()) == ([End.UNSENT], False)
 
@@ -132,7 +132,7 @@
 
 
 def test_bytes_that_are_no_answer_break_the_exchange():
-    events, usable = play(b"garbage\r\n\r\n")
+    events, usable = run_exchange(b"garbage\r\n\r\n")
     assert (events[-1], usable) == (End.BROKEN, False)
 
 
@@ -140,7 +140,7 @@
     # A second answer in the same packet would be read as the answer to
     # the next caller's request.
     answer = head(content_length=2) + b"ok"
-    events, usable = play(answer + head(content_length=3) + b"bad")
+    events, usable = run_exchange(answer + head(content_length=3) + b"bad")
     assert body(events) == b"ok"
     assert usable is False
 
@@ -150,7 +150,7 @@
     # nobody; ours still follows on the same connection.
     late = head(content_length=3, x_id="old") + b"bad"
     ours = head(content_length=2, x_id="new") + b"ok"
-    events, usable = play(
+    events, usable = run_exchange(
         late, ours, accept=lambda found: found.get("x-id") == "new"
     )
     assert isinstance(events[0], ResponseHead)
@@ -159,7 +159,7 @@
 
 
 def test_connection_close_is_obeyed():
-    _, usable = play(head(content_length=0, connection="close"))
+    _, usable = run_exchange(head(content_length=0, connection="close"))
     assert usable is False
 
 
--- a/dahliashunt/adapters/http_server.py
+++ b/dahliashunt/adapters/http_server.py
@@ -25,13 +25,13 @@
         Longest idle time between requests.
     header_bytes : int
         Longest request line and headers together.
-    headers_within_s : float
+    header_timeout_s : float
         From the connection to the end of its first headers.
     """
 
     keep_alive_s: int = 75
     header_bytes: int = 32_768
-    headers_within_s: float = 10.0
+    header_timeout_s: float = 10.0
 
 
 class _BoundedProtocol(HttpToolsProtocol):
@@ -47,14 +47,14 @@
         super().connection_made(transport)
         self._header_bytes = 0
         self._header_count = 0
-        self._watch_headers()
+        self._start_header_timer()
 
-    def _watch_headers(self):
+    def _start_header_timer(self):
         self._header_timer = asyncio.get_running_loop().call_later(
-            self.config.bounds.headers_within_s, self._cut_slow
+            self.config.bounds.header_timeout_s, self._abort_slow
         )
 
-    def _cut_slow(self):
+    def _abort_slow(self):
         if self.cycle is None or self._header_bytes:
             self.transport.abort()
 
@@ -68,15 +68,15 @@
         super().on_message_begin()
 
     def on_url(self, url):
-        self._count(len(url))
+        self._count_header_bytes(len(url))
         super().on_url(url)
 
     def on_header(self, name, value):
         self._header_count += 1
-        self._count(len(name) + len(value))
+        self._count_header_bytes(len(name) + len(value))
         super().on_header(name, value)
 
-    def _count(self, size):
+    def _count_header_bytes(self, size):
         self._header_bytes += size
         if (
             self._header_bytes > self.config.bounds.header_bytes
--- a/dahliashunt/adapters/objects/memory.py
+++ b/dahliashunt/adapters/objects/memory.py
@@ -25,22 +25,22 @@
 
     async def put(self, name: str, data: bytes) -> None:
         """Store `data` under `name`."""
-        self._check()
+        self._check_outage()
         self.by_name[name] = bytes(data)
         self._lose_answer()
 
     async def get(self, name: str) -> bytes | None:
         """Return the object named `name`, or None."""
-        self._check()
+        self._check_outage()
         return self.by_name.get(name)
 
     async def delete(self, name: str) -> None:
         """Delete the object named `name`, if there is one."""
-        self._check()
+        self._check_outage()
         self.by_name.pop(name, None)
         self._lose_answer()
 
-    def _check(self):
+    def _check_outage(self):
         if self.outage:
             raise PlatformUnavailable("the object store is out")
 
--- a/dahliashunt/adapters/objects/tests/test_objects.py
+++ b/dahliashunt/adapters/objects/tests/test_objects.py
@@ -11,13 +11,13 @@
 from dahliashunt.errors import WriteOutcomeUnknown
 from dahliashunt.standins import serve_role
 
-SHORT = HttpLimits(connect_ms=200, idle_ms=100, total_ms=500)
+SHORT_LIMITS = HttpLimits(connect_ms=200, idle_ms=100, total_ms=500)
 
 
 @contextlib.asynccontextmanager
 async def http_store(**options):
     async with serve_role("objects", **options) as standin:
-        store = HttpObjectStore(standin.url, SHORT)
+        store = HttpObjectStore(standin.url, SHORT_LIMITS)
         yield store, standin.app.faults, standin.url
         await store.close()
 
--- a/dahliashunt/adapters/slots/client.py
+++ b/dahliashunt/adapters/slots/client.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from dahliashunt.adapters.slots.datagrams import open_datagrams
-from dahliashunt.adapters.slots.use import decode_reading
-from dahliashunt.adapters.slots.use import encode_report
+from dahliashunt.adapters.slots.usage_codec import decode_reading
+from dahliashunt.adapters.slots.usage_codec import encode_report
 from dahliashunt.adapters.wire.gen.link.ttypes import SlotAsk
 from dahliashunt.adapters.wire.gen.link.ttypes import SlotFrame
 from dahliashunt.adapters.wire.gen.link.ttypes import SlotHeld
@@ -18,20 +18,20 @@
 from dahliashunt.decisions.slot_messages import Use
 from dahliashunt.ports import Clock
 
-__all__ = ["Known", "SlotAttempt", "SlotClient"]
+__all__ = ["KnownState", "SlotAttempt", "SlotClient"]
 
-RESEND_MS = 25
+RESEND_INTERVAL_MS = 25
 """An ask without answer is sent again after so long: some ten round trips
 within a region, and little of a 300 ms objective."""
 
-SENDS = 3
+MAX_SENDS = 3
 """Asks without answer after which the agent is taken as silent."""
 
-ANSWER_MS = RESEND_MS * SENDS
+ANSWER_TIMEOUT_MS = RESEND_INTERVAL_MS * MAX_SENDS
 """An agent that has not answered a renewal for so long is silent. It is
 then probed, not asked: requests go to its replica directly."""
 
-PROBES = 30
+MAX_PROBES = 30
 """Probes of a silent agent between two renewals' pace. After a restart of
 everything an agent is heard within one probe of its start; one that is
 gone for good costs no more than the renewals."""
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownState:
     """What an agent last said of its replica, and when."""
 
     state: AllocatorState
@@ -81,7 +81,7 @@
 
 
 @dataclass(slots=True)
-class _Asked:
+class _SlotClaim:
     address: tuple[str, int]
     answer: asyncio.Future
     on_revoke: object
@@ -110,14 +110,14 @@
     def __init__(self, clock: Clock):
         self._clock = clock
         self._datagrams = None
-        self._asked_by_id: dict[str, _Asked] = {}
-        self.known_by_address: dict[tuple[str, int], Known] = {}
+        self._claim_by_id: dict[str, _SlotClaim] = {}
+        self.known_by_address: dict[tuple[str, int], KnownState] = {}
         self._unanswered_by_address: dict[tuple[str, int], _Unanswered] = {}
         self.on_reading = lambda host, reading: None
 
     async def start(self, host: str, port: int) -> None:
         """Open the socket."""
-        self._datagrams = await open_datagrams(self._received, host, port)
+        self._datagrams = await open_datagrams(self._on_frame, host, port)
 
     def stop(self) -> None:
         """Close the socket."""
@@ -133,7 +133,7 @@
         unanswered = self._unanswered_by_address.get(address)
         if unanswered is None:
             return False
-        return self._clock.now_ms() - unanswered.since_ms >= ANSWER_MS
+        return self._clock.now_ms() - unanswered.since_ms >= ANSWER_TIMEOUT_MS
 
     async def ask(
         self, attempt: SlotAttempt, address, wait_ms: int
@@ -151,8 +151,8 @@
         wait_ms : int
         """
         attempt_id = attempt.attempt_id
-        asked = _Asked(address, None, attempt.on_revoke)
-        self._asked_by_id[attempt_id] = asked
+        claim = _SlotClaim(address, None, attempt.on_revoke)
+        self._claim_by_id[attempt_id] = claim
         ask = SlotAsk(
             attempt_id=attempt_id,
             use=_USE[attempt.use],
@@ -166,51 +166,51 @@
         self._unanswered_by_address.setdefault(address, _Unanswered(asked_ms))
         verdict = None
         try:
-            verdict = await self._exchange(asked, frame, wait_ms)
+            verdict = await self._exchange(claim, frame, wait_ms)
         finally:
             if verdict is not SlotDecision.GRANTED:
                 self.release(attempt_id)
         if verdict is None:
-            since_ms = self._clock.now_ms() - ANSWER_MS
+            since_ms = self._clock.now_ms() - ANSWER_TIMEOUT_MS
             self._unanswered_by_address[address] = _Unanswered(since_ms)
             self.known_by_address.pop(address, None)
         return SlotDecision.FULL if verdict is SlotDecision.QUEUED else verdict
 
-    async def _exchange(self, asked, frame, wait_ms):
+    async def _exchange(self, claim, frame, wait_ms):
         until_ms = self._clock.now_ms() + wait_ms
         verdict = None
         sends = 0
-        while sends < SENDS:
-            asked.answer = asyncio.get_running_loop().create_future()
-            self._datagrams.send(frame, asked.address)
+        while sends < MAX_SENDS:
+            claim.answer = asyncio.get_running_loop().create_future()
+            self._datagrams.send(frame, claim.address)
             sends += 1
-            heard = await _within(asked.answer, RESEND_MS)
-            while heard is SlotDecision.QUEUED:
-                verdict = heard
-                left_ms = until_ms - self._clock.now_ms()
-                if left_ms <= 0:
+            reply = await _wait_for(claim.answer, RESEND_INTERVAL_MS)
+            while reply is SlotDecision.QUEUED:
+                verdict = reply
+                remaining_ms = until_ms - self._clock.now_ms()
+                if remaining_ms <= 0:
                     return verdict
-                asked.answer = asyncio.get_running_loop().create_future()
-                heard = await _within(asked.answer, min(left_ms, 100))
+                claim.answer = asyncio.get_running_loop().create_future()
+                reply = await _wait_for(claim.answer, min(remaining_ms, 100))
                 sends = 0
-            if heard is not None:
-                return heard
+            if reply is not None:
+                return reply
             if verdict is not None and self._clock.now_ms() >= until_ms:
                 return verdict
         return verdict
 
     def release(self, attempt_id) -> None:
         """Give back what `attempt_id` holds or waits for."""
-        asked = self._asked_by_id.pop(attempt_id, None)
-        if asked is not None:
+        claim = self._claim_by_id.pop(attempt_id, None)
+        if claim is not None:
             frame = SlotFrame(release=SlotRelease(attempt_id))
-            self._datagrams.send(frame, asked.address)
+            self._datagrams.send(frame, claim.address)
 
     def renew(self, addresses) -> None:
         """Renew what is held, and ask `addresses` to send their states."""
         ids_by_address = {address: [] for address in addresses}
-        for attempt_id, asked in self._asked_by_id.items():
-            ids_by_address.setdefault(asked.address, []).append(attempt_id)
+        for attempt_id, claim in self._claim_by_id.items():
+            ids_by_address.setdefault(claim.address, []).append(attempt_id)
         now_ms = self._clock.now_ms()
         for address, attempt_ids in ids_by_address.items():
             frame = SlotFrame(held=SlotHeld(attempt_ids))
@@ -236,36 +236,36 @@
             if not self.is_silent(address):
                 continue
             self.known_by_address.pop(address, None)
-            if unanswered.probes < PROBES:
+            if unanswered.probes < MAX_PROBES:
                 unanswered.probes += 1
                 self._datagrams.send(SlotFrame(held=SlotHeld([])), address)
 
-    def _received(self, frame, address):
+    def _on_frame(self, frame, address):
         self._unanswered_by_address.pop(address, None)
         if frame.use_reading is not None:
             self.on_reading(address[0], decode_reading(frame.use_reading))
         elif frame.answer is not None:
-            self._learn(frame.answer.state, address)
-            self._answered(frame.answer, address)
+            self._record_state(frame.answer.state, address)
+            self._on_answer(frame.answer, address)
         elif frame.state is not None:
-            self._learn(frame.state, address)
+            self._record_state(frame.state, address)
         elif frame.revoke is not None:
-            asked = self._asked_by_id.get(frame.revoke.attempt_id)
-            if asked is not None and asked.address == address:
-                asked.on_revoke()
+            claim = self._claim_by_id.get(frame.revoke.attempt_id)
+            if claim is not None and claim.address == address:
+                claim.on_revoke()
 
-    def _answered(self, answer, address):
-        asked = self._asked_by_id.get(answer.attempt_id)
-        if asked is None or asked.address != address:
+    def _on_answer(self, answer, address):
+        claim = self._claim_by_id.get(answer.attempt_id)
+        if claim is None or claim.address != address:
             if answer.verdict == SlotVerdict.GRANTED:
                 # Granted after this side gave up: give it back at once.
                 release = SlotRelease(answer.attempt_id)
                 self._datagrams.send(SlotFrame(release=release), address)
             return
-        if not asked.answer.done():
-            asked.answer.set_result(_VERDICT.get(answer.verdict))
+        if not claim.answer.done():
+            claim.answer.set_result(_VERDICT.get(answer.verdict))
 
-    def _learn(self, state, address):
+    def _record_state(self, state, address):
         if state is None:
             return
         known = AllocatorState(
@@ -276,7 +276,9 @@
             wait_ms=state.wait_ms or 0,
             away=bool(state.away),
         )
-        self.known_by_address[address] = Known(known, self._clock.now_ms())
+        self.known_by_address[address] = KnownState(
+            known, self._clock.now_ms()
+        )
 
     def forget_but(self, addresses) -> None:
         """Drop what is known of agents that are not in `addresses`."""
@@ -288,6 +290,6 @@
                 del self._unanswered_by_address[address]
 
 
-async def _within(future, limit_ms):
+async def _wait_for(future, limit_ms):
     await asyncio.wait({future}, timeout=limit_ms / 1000)
     return future.result() if future.done() else None
--- a/dahliashunt/adapters/slots/server.py
+++ b/dahliashunt/adapters/slots/server.py
@@ -1,8 +1,8 @@
 """An agent's side: ask the allocator's decisions and send them."""
 
 from dahliashunt.adapters.slots.datagrams import open_datagrams
-from dahliashunt.adapters.slots.use import decode_report
-from dahliashunt.adapters.slots.use import encode_reading
+from dahliashunt.adapters.slots.usage_codec import decode_report
+from dahliashunt.adapters.slots.usage_codec import encode_reading
 from dahliashunt.adapters.wire.gen.link.ttypes import SlotAnswer
 from dahliashunt.adapters.wire.gen.link.ttypes import SlotFrame
 from dahliashunt.adapters.wire.gen.link.ttypes import SlotRevoke
@@ -20,7 +20,7 @@
 
 __all__ = ["SlotServer"]
 
-LISTENER_MS = 5_000
+LISTENER_TIMEOUT_MS = 5_000
 """Entries that sent nothing for so long get no more states; they send
 renewals every second."""
 
@@ -59,7 +59,7 @@
 
     async def start(self, host: str, port: int) -> None:
         """Take datagrams at `host` and `port`."""
-        self._datagrams = await open_datagrams(self._received, host, port)
+        self._datagrams = await open_datagrams(self._on_frame, host, port)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -71,16 +71,16 @@
         if self._datagrams is not None:
             self._datagrams.close()
 
-    def _received(self, frame, requester):
+    def _on_frame(self, frame, requester):
         now_ms = self._clock.now_ms()
         self.meter.heard.note(now_ms, requester)
         if frame.use_report is not None:
-            self._metered(now_ms, frame.use_report, requester)
+            self._on_usage_report(now_ms, frame.use_report, requester)
             return
         self._heard_ms_by_requester[requester] = now_ms
         if frame.ask is not None:
             self._send_all(
-                self.allocator.ask(_ask(frame.ask, requester), now_ms)
+                self.allocator.ask(_slot_request(frame.ask, requester), now_ms)
             )
         elif frame.release is not None:
             attempt_id = frame.release.attempt_id
@@ -91,7 +91,7 @@
             # nothing new to say from one that is gone.
             self._datagrams.send(SlotFrame(state=self._state()), requester)
 
-    def _metered(self, now_ms, wire, requester):
+    def _on_usage_report(self, now_ms, wire, requester):
         reading = self.meter.report(now_ms, requester, decode_report(wire))
         self._metrics.count("use_reports")
         if wire.wanted and reading.granted < wire.wanted:
@@ -140,13 +140,13 @@
         self._last_state = state
         now_ms = self._clock.now_ms()
         for requester, heard_ms in list(self._heard_ms_by_requester.items()):
-            if now_ms - heard_ms > LISTENER_MS:
+            if now_ms - heard_ms > LISTENER_TIMEOUT_MS:
                 del self._heard_ms_by_requester[requester]
             else:
                 self._datagrams.send(SlotFrame(state=state), requester)
 
 
-def _ask(ask, requester):
+def _slot_request(ask, requester):
     return SlotRequest(
         attempt_id=ask.attempt_id,
         run_id=ask.run_id,
--- a/dahliashunt/adapters/slots/tests/test_slots.py
+++ b/dahliashunt/adapters/slots/tests/test_slots.py
@@ -60,7 +60,7 @@
 
 
 @pytest.fixture
-def play():
+def run_scenario():
     def run(scenario):
         async def main():
             fleet = Fleet()
@@ -75,7 +75,7 @@
     return run
 
 
-def test_entries_share_the_slots(play):
+def test_entries_share_the_slots(run_scenario):
     async def scenario(fleet):
         one, two = await fleet.entry(), await fleet.entry()
         assert await fleet.ask(one, "a") is SlotDecision.GRANTED
@@ -85,10 +85,10 @@
         await fleet.until(lambda: fleet.server.allocator.state().online == 1)
         assert await fleet.ask(one, "d") is SlotDecision.GRANTED
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_waiting_request_is_granted_when_a_slot_is_released(play):
+def test_a_waiting_request_is_granted_when_a_slot_is_released(run_scenario):
     async def scenario(fleet):
         entry = await fleet.entry()
         for name in "ab":
@@ -100,10 +100,10 @@
         entry.release("a")
         assert await waiting is SlotDecision.GRANTED
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_batch_item_is_told_to_stop(play):
+def test_a_batch_item_is_told_to_stop(run_scenario):
     async def scenario(fleet):
         one, two = await fleet.entry(), await fleet.entry()
         for name in "ij":
@@ -111,10 +111,10 @@
         assert await fleet.ask(two, "a") is SlotDecision.GRANTED
         await fleet.until(lambda: len(fleet.revoked) == 1)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_silent_agent_is_left_alone_for_a_while(play):
+def test_a_silent_agent_is_left_alone_for_a_while(run_scenario):
     # The agent's machine is gone. Each request would otherwise lose the
     # time of all its asks before it goes to the replica directly.
     async def scenario(fleet):
@@ -123,10 +123,10 @@
         assert await fleet.ask(entry, "a") is None
         assert entry.is_silent(fleet.address)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_agent_that_is_back_is_heard_before_the_next_renewal(play):
+def test_an_agent_that_is_back_is_heard_before_the_next_renewal(run_scenario):
     # Everything was restarted and entries are up first. Until an agent is
     # heard a quarter of its replica's slots is used.
     async def scenario(fleet):
@@ -141,10 +141,10 @@
         await fleet.until(lambda: not entry.is_silent(fleet.address))
         assert fleet.address in entry.known_by_address
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_quiet_agent_is_not_taken_for_a_silent_one(play):
+def test_a_quiet_agent_is_not_taken_for_a_silent_one(run_scenario):
     # Nothing changes at a replica for a minute, so that its agent has no
     # news. It answers renewals all the same.
     async def scenario(fleet):
@@ -156,20 +156,20 @@
             assert not entry.is_silent(fleet.address)
         assert known is not None
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_agent_that_starts_is_known_at_the_next_renewal(play):
+def test_an_agent_that_starts_is_known_at_the_next_renewal(run_scenario):
     async def scenario(fleet):
         entry = await fleet.entry()
         entry.renew({fleet.address})
         await fleet.until(lambda: fleet.address in entry.known_by_address)
         assert entry.known_by_address[fleet.address].state.slots == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_bytes_of_a_foreign_sender_are_dropped(play):
+def test_bytes_of_a_foreign_sender_are_dropped(run_scenario):
     async def scenario(fleet):
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
@@ -180,4 +180,4 @@
         assert await fleet.ask(entry, "a") is SlotDecision.GRANTED
         transport.close()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/dahliashunt/adapters/slots/use.py
+++ b/dahliashunt/adapters/slots/usage_codec.py
@@ -15,7 +15,7 @@
     "encode_report",
 ]
 
-LEAST_RATE = 0.001
+MIN_RATE = 0.001
 """Requests a second; waits are divided by it."""
 
 
@@ -82,7 +82,7 @@
 
 def _limit(wire):
     return RateLimit(
-        rate=max(LEAST_RATE, wire.rate or 0.0),
+        rate=max(MIN_RATE, wire.rate or 0.0),
         room=wire.room or 0.0,
         revision=Revision(wire.revision or 0),
     )
--- a/dahliashunt/adapters/table/calls.py
+++ b/dahliashunt/adapters/table/calls.py
@@ -13,7 +13,7 @@
 
 __all__ = ["HttpReply", "PlatformCalls"]
 
-_REFUSED = (429, 503)
+_REFUSED_STATUSES = (429, 503)
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +106,7 @@
             raise PlatformUnavailable(str(error)) from error
         except AnswerLost as error:
             raise WriteOutcomeUnknown(str(error)) from error
-        if reply.status in _REFUSED:
+        if reply.status in _REFUSED_STATUSES:
             raise PlatformUnavailable(f"{path}: answered {reply.status}")
         if reply.status not in (200, conflict_status):
             raise WriteOutcomeUnknown(f"{path}: answered {reply.status}")
--- a/dahliashunt/adapters/table/memory.py
+++ b/dahliashunt/adapters/table/memory.py
@@ -51,7 +51,7 @@
 
     async def transact(self, writes: tuple[Write, ...]) -> tuple[int, ...]:
         """Apply all `writes` or none; return the rows' new versions."""
-        self._check()
+        self._check_outage()
         self.transactions += 1
         if self.before_transact is not None:
             self.before_transact(writes)
@@ -69,9 +69,9 @@
         return versions
 
     def _count_read(self):
-        self._check()
+        self._check_outage()
         self.reads += 1
 
-    def _check(self):
+    def _check_outage(self):
         if self.outage:
             raise PlatformUnavailable("the table service is out")
--- a/dahliashunt/adapters/table/rows.py
+++ b/dahliashunt/adapters/table/rows.py
@@ -38,7 +38,9 @@
         TransactionConflict
             A condition did not hold.
         """
-        failed = [each.key for each in writes if not self._holds(each)]
+        failed = [
+            each.key for each in writes if not self._condition_holds(each)
+        ]
         if failed:
             raise TransactionConflict(failed)
         return tuple(self._apply(each) for each in writes)
@@ -51,7 +53,7 @@
         row = self._by_key.get(key)
         return row.version if row else 0
 
-    def _holds(self, write):
+    def _condition_holds(self, write):
         if write.expect is MustBe.ANY:
             return True
         if write.expect is MustBe.ABSENT:
--- a/dahliashunt/adapters/table/sessions.py
+++ b/dahliashunt/adapters/table/sessions.py
@@ -17,7 +17,7 @@
 __all__ = ["AnswerLost", "HttpLimits", "HttpSessions", "NotSent"]
 
 
-_NOT_ADDED = ("Accept-Encoding", "User-Agent")
+_SKIPPED_AUTO_HEADERS = ("Accept-Encoding", "User-Agent")
 """Headers that aiohttp would add to a request.
 
 With the first, a back end may compress an answer for a caller who did not
@@ -139,11 +139,11 @@
             ) as response:
                 yield response
         except (ClientError, TimeoutError) as error:
-            told = f"{type(error).__name__}: {error}"
+            message = f"{type(error).__name__}: {error}"
             if not progress.connected:
-                raise NotSent(told) from error
+                raise NotSent(message) from error
             self._retire(pool)
-            raise AnswerLost(told) from error
+            raise AnswerLost(message) from error
         finally:
             pool.in_use -= 1
             await pool.close_if_unused()
@@ -182,7 +182,7 @@
                 cookie_jar=DummyCookieJar(),
                 connector=connector,
                 auto_decompress=False,
-                skip_auto_headers=_NOT_ADDED,
+                skip_auto_headers=_SKIPPED_AUTO_HEADERS,
                 trace_configs=[_trace_connections()],
             )
             # Left on, aiohttp by itself repeats a GET, PUT or DELETE whose
@@ -201,10 +201,10 @@
     request do not tell it, a timeout least of all.
     """
 
-    async def note(session, context, params):
+    async def mark_connected(session, context, params):
         context.trace_request_ctx.connected = True
 
     trace = TraceConfig()
-    trace.on_connection_create_end.append(note)
-    trace.on_connection_reuseconn.append(note)
+    trace.on_connection_create_end.append(mark_connected)
+    trace.on_connection_reuseconn.append(mark_connected)
     return trace
--- a/dahliashunt/adapters/table/tests/test_table.py
+++ b/dahliashunt/adapters/table/tests/test_table.py
@@ -14,13 +14,13 @@
 from dahliashunt.ports.table import Write
 from dahliashunt.standins import serve_role
 
-SHORT = HttpLimits(connect_ms=200, idle_ms=100, total_ms=500)
+SHORT_LIMITS = HttpLimits(connect_ms=200, idle_ms=100, total_ms=500)
 
 
 @contextlib.asynccontextmanager
 async def http_table(**options):
     async with serve_role("table", **options) as standin:
-        table = HttpTableService(standin.url, SHORT)
+        table = HttpTableService(standin.url, SHORT_LIMITS)
         yield table, standin.app.faults
         await table.close()
 
@@ -140,7 +140,7 @@
     async def test():
         async with serve_role("table") as standin:
             url = standin.url
-        table = HttpTableService(url, SHORT)
+        table = HttpTableService(url, SHORT_LIMITS)
         with pytest.raises(PlatformUnavailable):
             await table.transact((Write("a", "1"),))
         with pytest.raises(PlatformUnavailable):
--- a/dahliashunt/adapters/wire/codec.py
+++ b/dahliashunt/adapters/wire/codec.py
@@ -19,14 +19,14 @@
 MAX_FRAME_BYTES = 16_000_000
 """Longest frame taken; a longer one is a broken or foreign peer."""
 
-_HEAD = struct.Struct(">I")
+_LENGTH_PREFIX = struct.Struct(">I")
 _FACTORY = TCompactProtocolAcceleratedFactory()
 
 
 def encode(frame: Frame) -> bytes:
     """Return `frame` as bytes on the wire."""
     body = serialize(frame, protocol_factory=_FACTORY)
-    return _HEAD.pack(len(body)) + body
+    return _LENGTH_PREFIX.pack(len(body)) + body
 
 
 class FrameReader:
@@ -57,18 +57,20 @@
         buffer = self._buffer
         buffer += data
         frames = []
-        at = 0
-        while len(buffer) - at >= _HEAD.size:
-            (length,) = _HEAD.unpack_from(buffer, at)
+        offset = 0
+        while len(buffer) - offset >= _LENGTH_PREFIX.size:
+            (length,) = _LENGTH_PREFIX.unpack_from(buffer, offset)
             if length > MAX_FRAME_BYTES:
                 raise LinkError(f"frame of {length} bytes")
-            end = at + _HEAD.size + length
+            end = offset + _LENGTH_PREFIX.size + length
             if len(buffer) < end:
                 break
-            frames.append(_decode(bytes(buffer[at + _HEAD.size : end])))
-            at = end
-        if at:
-            del buffer[:at]
+            frames.append(
+                _decode(bytes(buffer[offset + _LENGTH_PREFIX.size : end]))
+            )
+            offset = end
+        if offset:
+            del buffer[:offset]
         return frames
 
 
