--- a/dahliashunt/adapters/http_server.py
+++ b/dahliashunt/adapters/http_server.py
@@ -1,4 +1,4 @@
-"""Serve a blacksheep application by uvicorn inside the running loop."""
+"""HTTP server: runs an ASGI application under uvicorn in the running loop."""
 
 import asyncio
 import contextlib
@@ -17,16 +17,16 @@
 
 @dataclass(slots=True)
 class HttpBounds:
-    """What one connection may take; may change while the server runs.
+    """Limits of one connection, which may change while the server runs.
 
     Attributes
     ----------
     keep_alive_s : int
         Longest idle time between requests.
     header_bytes : int
-        Longest request line and headers together.
+        Largest request line and headers together.
     header_timeout_s : float
-        From the connection to the end of its first headers.
+        Time from the connection to the end of its first headers.
     """
 
     keep_alive_s: int = 75
@@ -35,11 +35,11 @@
 
 
 class _BoundedProtocol(HttpToolsProtocol):
-    """Cuts a connection whose headers are too large or too slow.
+    """Aborts a connection whose headers are too large or too slow.
 
-    The parser itself keeps any number of headers: a caller could fill the
-    memory with one request, or hold connections by never ending them. A
-    cut connection never reached a handler, so nothing ran.
+    The parser accepts any number of headers, so one caller could exhaust
+    the memory or hold connections open. The request is aborted before it
+    reaches a handler.
     """
 
     def connection_made(self, transport):
@@ -83,8 +83,11 @@
             or self._header_count > MAX_HEADERS
         ):
             self.transport.abort()
-            # The parser stops at an error raised by a callback.
-            raise ValueError("headers over the limit")
+            # An exception in a callback stops the parser.
+            raise ValueError(
+                f"request headers exceed {self.config.bounds.header_bytes}"
+                f" bytes or {MAX_HEADERS} fields"
+            )
 
     def on_headers_complete(self):
         self._header_timer.cancel()
@@ -93,7 +96,7 @@
 
 
 class _Server(Server):
-    """A server that leaves signals to the process."""
+    """Server that leaves signal handling to the process."""
 
     def __init__(self, config):
         super().__init__(config)
@@ -115,10 +118,10 @@
     ----------
     app : ASGI application
     host, port
-        Port 0 takes a free one; `port` then tells which.
+        Port 0 binds a free one, which the attribute `port` gives.
     ssl_context : ssl.SSLContext, optional
     lifespan : bool
-        Whether `app` takes the start and stop messages of ASGI.
+        Whether `app` handles the ASGI lifespan protocol.
     bounds : HttpBounds, optional
     """
 
@@ -152,7 +155,7 @@
         self._task = None
 
     async def start(self) -> None:
-        """Start to take connections."""
+        """Start accepting connections."""
         self._task = asyncio.create_task(
             self._server.serve(sockets=[self._socket])
         )
@@ -165,12 +168,12 @@
             self._task.result()
 
     async def stop(self) -> None:
-        """Take no more connections; let requests in progress end."""
+        """Stop accepting connections and wait for requests in progress."""
         self._server.should_exit = True
         await self._task
         self._socket.close()
 
     async def stop_now(self) -> None:
-        """Cut what is in progress."""
+        """Stop without waiting for requests in progress."""
         self._server.force_exit = True
         await self.stop()
--- a/dahliashunt/adapters/objects/memory.py
+++ b/dahliashunt/adapters/objects/memory.py
@@ -1,4 +1,4 @@
-"""Object store in the process's memory, for unit tests."""
+"""In-memory object store for unit tests."""
 
 from dahliashunt.errors import PlatformUnavailable
 from dahliashunt.errors import WriteOutcomeUnknown
@@ -7,14 +7,14 @@
 
 
 class MemoryObjectStore:
-    """`ObjectStore` in memory with fault hooks.
+    """In-memory `ObjectStore` with fault injection.
 
     Attributes
     ----------
     outage : bool
-        Every call raises `PlatformUnavailable`.
+        Whether every call raises `PlatformUnavailable`.
     drop_answers : int
-        So many writes more take effect and then raise
+        Number of writes that take effect and then raise
         `WriteOutcomeUnknown`.
     """
 
@@ -42,9 +42,9 @@
 
     def _check_outage(self):
         if self.outage:
-            raise PlatformUnavailable("the object store is out")
+            raise PlatformUnavailable("injected outage of the object store")
 
     def _lose_answer(self):
         if self.drop_answers > 0:
             self.drop_answers -= 1
-            raise WriteOutcomeUnknown("the answer was lost")
+            raise WriteOutcomeUnknown("injected loss of the response")
--- a/dahliashunt/adapters/objects/tests/test_objects.py
+++ b/dahliashunt/adapters/objects/tests/test_objects.py
@@ -30,7 +30,7 @@
 
 @pytest.fixture(params=[http_store, memory_store], ids=["http", "memory"])
 def on_store(request):
-    """Run a test's coroutine on each kind of store."""
+    """Run a test's coroutine on each store adapter."""
 
     def run(test):
         async def body():
@@ -83,9 +83,8 @@
 
 
 def test_no_write_is_repeated_behind_the_callers_back():
-    # The answer to a delete is lost. An HTTP client that repeats it by
-    # itself reports success, and deletes what was stored in between.
-    # aiohttp does so for PUT and DELETE unless told not to.
+    # Guards against aiohttp's own retry of PUT and DELETE, which would hide
+    # a lost response and could delete an object stored in between.
     async def test():
         async with http_store() as (store, faults, url):
             await store.put("a", b"1")
--- a/dahliashunt/adapters/sockets.py
+++ b/dahliashunt/adapters/sockets.py
@@ -8,15 +8,13 @@
 
 
 def listening_socket(host: str, port: int) -> socket.socket:
-    """Return a TCP socket that listens; port 0 takes a free one.
+    """Return a listening TCP socket; port 0 binds a free one.
 
     Notes
     -----
-    Failure: each streamed answer takes 40 ms longer than it should.
-    asyncio turns Nagle's algorithm off only on sockets that name TCP as
-    their protocol, which those of `socket.create_server` do not; then
-    the second small write of an answer waits for a delayed
-    acknowledgement [1]_.
+    asyncio disables Nagle's algorithm [1]_ only on sockets whose protocol
+    is TCP, which those of `socket.create_server` do not name. With it, the
+    second small write of a response waits for a delayed acknowledgement.
 
     References
     ----------
--- a/dahliashunt/adapters/table/__init__.py
+++ b/dahliashunt/adapters/table/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters to the platform's table service, and HTTP calls of any."""
+"""Adapters to the platform's table service, and its HTTP client."""
 
 from dahliashunt.adapters.table.calls import HttpReply
 from dahliashunt.adapters.table.calls import PlatformCalls
--- a/dahliashunt/adapters/table/calls.py
+++ b/dahliashunt/adapters/table/calls.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's services over HTTP."""
+"""HTTP calls to the platform's services."""
 
 from dataclasses import dataclass
 import json
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpReply:
-    """A whole answer."""
+    """Status and complete body of a response."""
 
     status: int
     body: bytes
@@ -29,7 +29,7 @@
 
 
 class PlatformCalls:
-    """Calls of one service of the platform.
+    """HTTP calls to one service of the platform.
 
     Parameters
     ----------
@@ -50,13 +50,13 @@
     async def read(
         self, method: str, path: str, missing_status: int = 0, **content
     ) -> HttpReply | None:
-        """Make a call without effect.
+        """Send a request that changes nothing at the service.
 
         Parameters
         ----------
         method, path : str
         missing_status : int
-            Status that says that there is no such thing.
+            Status that means that the resource does not exist.
         **content
             Body and headers, as aiohttp takes them.
 
@@ -68,7 +68,7 @@
         Raises
         ------
         PlatformUnavailable
-            There is no good answer.
+            No response came, or one with another status.
         """
         try:
             reply = await self._send(method, path, content)
@@ -83,22 +83,22 @@
     async def write(
         self, method: str, path: str, conflict_status: int = 0, **content
     ) -> HttpReply:
-        """Make a call that has an effect.
+        """Send a request that changes something at the service.
 
         Parameters
         ----------
         method, path : str
         conflict_status : int
-            Status besides 200 whose reply is returned.
+            Status, besides 200, with which the reply is returned.
         **content
             Body and headers, as aiohttp takes them.
 
         Raises
         ------
         PlatformUnavailable
-            It had no effect.
+            The write did not take effect.
         WriteOutcomeUnknown
-            It was sent, and no answer tells whether it had an effect.
+            The write was sent and may have taken effect.
         """
         try:
             reply = await self._send(method, path, content)
--- a/dahliashunt/adapters/table/http.py
+++ b/dahliashunt/adapters/table/http.py
@@ -50,7 +50,7 @@
     async def transact(self, writes: tuple[Write, ...]) -> tuple[int, ...]:
         """Apply all `writes` or none; return the rows' new versions.
 
-        A row that the transaction deletes has the new version 0.
+        A deleted row has version 0.
         """
         body = {"writes": [_write_fields(each) for each in writes]}
         reply = await self._calls.write(
@@ -73,11 +73,11 @@
 
 
 def _member(reply: HttpReply, name: str):
-    """Return one member of a reply to a write."""
+    """Return one member of the JSON reply to a write."""
     try:
         return reply.json()[name]
     except (ValueError, KeyError, TypeError) as error:
-        raise WriteOutcomeUnknown(f"unreadable answer: {error!r}") from error
+        raise WriteOutcomeUnknown(f"malformed reply: {error!r}") from error
 
 
 def _write_fields(write: Write) -> dict:
--- a/dahliashunt/adapters/table/memory.py
+++ b/dahliashunt/adapters/table/memory.py
@@ -1,4 +1,4 @@
-"""Table service in the process's memory, for unit tests."""
+"""In-memory table service for unit tests."""
 
 from dahliashunt.adapters.table.rows import TableRows
 from dahliashunt.errors import PlatformUnavailable
@@ -10,21 +10,21 @@
 
 
 class MemoryTableService:
-    """`TableService` in memory with fault hooks.
+    """In-memory `TableService` with fault injection.
 
     Attributes
     ----------
     outage : bool
-        Every call raises `PlatformUnavailable`.
+        Whether every call raises `PlatformUnavailable`.
     drop_answers : int
-        So many transactions more take effect and then raise
+        Number of transactions that take effect and then raise
         `WriteOutcomeUnknown`.
     lose_writes : int
-        So many transactions more raise it without any effect.
+        Number of transactions that raise it without taking effect.
     before_transact : callable or None
-        Called with the writes before a transaction, to race it.
+        Called with the writes before a transaction, to simulate a race.
     reads, transactions, conflicts : int
-        Calls so far.
+        Numbers of calls.
     """
 
     def __init__(self):
@@ -57,7 +57,7 @@
             self.before_transact(writes)
         if self.lose_writes > 0:
             self.lose_writes -= 1
-            raise WriteOutcomeUnknown("the write was lost")
+            raise WriteOutcomeUnknown("injected loss of the write")
         try:
             versions = self.rows.transact(tuple(writes))
         except Exception:
@@ -65,7 +65,7 @@
             raise
         if self.drop_answers > 0:
             self.drop_answers -= 1
-            raise WriteOutcomeUnknown("the answer was lost")
+            raise WriteOutcomeUnknown("injected loss of the response")
         return versions
 
     def _count_read(self):
@@ -74,4 +74,4 @@
 
     def _check_outage(self):
         if self.outage:
-            raise PlatformUnavailable("the table service is out")
+            raise PlatformUnavailable("injected outage of the table service")
--- a/dahliashunt/adapters/table/rows.py
+++ b/dahliashunt/adapters/table/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the table service in memory, with its conditions."""
+"""In-memory rows of the table service with conditional transactions."""
 
 import bisect
 
@@ -36,7 +36,7 @@
         Raises
         ------
         TransactionConflict
-            A condition did not hold.
+            The condition of at least one write does not hold.
         """
         failed = [
             each.key for each in writes if not self._condition_holds(each)
--- a/dahliashunt/adapters/table/sessions.py
+++ b/dahliashunt/adapters/table/sessions.py
@@ -18,29 +18,26 @@
 
 
 _SKIPPED_AUTO_HEADERS = ("Accept-Encoding", "User-Agent")
-"""Headers that aiohttp would add to a request.
-
-With the first, a back end may compress an answer for a caller who did not
-say that it can read that.
-"""
+"""Headers that aiohttp must not add: a back end could compress a response
+for a caller who does not accept that."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpLimits:
-    """Limits of the calls of one service.
+    """Time and connection limits of calls to one service.
 
     Attributes
     ----------
     connect_ms : int
-        Until the call has a connection, new or kept.
+        Time to obtain a connection, new or reused.
     idle_ms : int
-        Between two reads of an answer.
+        Time between two reads of a response.
     total_ms : int
-        Of a whole call that names no limit of its own.
+        Time of a whole call, unless the call sets its own limit.
     keep_ms : int
-        For which an unused connection is kept; less than the server's.
+        Keep-alive time of an idle connection; less than the server's.
     connections : int
-        Open at once; 0 sets no limit.
+        Largest number of open connections; 0 sets no limit.
     """
 
     connect_ms: int = 1000
@@ -55,18 +52,18 @@
 
 
 class AnswerLost(Exception):
-    """The request may have arrived; its answer did not, or not whole."""
+    """The request may have arrived, but no complete response came."""
 
 
 class _Pool:
-    """Connections that are given up together.
+    """Connections that are retired together.
 
     Attributes
     ----------
     in_use : int
-        Calls under way.
+        Number of calls in progress.
     retired : bool
-        No new call uses the pool; the last one closes it.
+        Whether the pool takes no new calls; its last call closes it.
     """
 
     def __init__(self, session: ClientSession):
@@ -80,7 +77,7 @@
 
 
 class HttpSessions:
-    """Connections to one service.
+    """Connection pools of one service.
 
     Parameters
     ----------
@@ -89,10 +86,10 @@
 
     Notes
     -----
-    After a loss the next call uses a new connection: a connection can go
-    silent for good, because something on its path has lost track of it,
-    and then the kept ones beside it are often as dead. The whole pool is
-    retired; calls under way in it go on, as they may be on sound ones.
+    A lost response retires the whole pool, so that the next call opens a
+    new connection: when a device on the path drops the state of one
+    connection, the others have often lost theirs too. Calls in progress
+    on the retired pool continue.
     """
 
     def __init__(
@@ -123,7 +120,7 @@
         NotSent
             No connection could be made.
         AnswerLost
-            Anything later, also while the response is read.
+            The call failed later, possibly while the response was read.
         """
         pool = self._open()
         pool.in_use += 1
@@ -176,8 +173,8 @@
                 limit=self._limits.connections,
                 keepalive_timeout=self._limits.keep_ms / 1000,
             )
-            # Callers share these connections. With a cookie jar, a service's
-            # cookie for one caller would go out with the next one's call.
+            # Callers share these connections; a cookie jar would send one
+            # caller's cookie with the next caller's request.
             session = ClientSession(
                 cookie_jar=DummyCookieJar(),
                 connector=connector,
@@ -185,20 +182,18 @@
                 skip_auto_headers=_SKIPPED_AUTO_HEADERS,
                 trace_configs=[_trace_connections()],
             )
-            # Left on, aiohttp by itself repeats a GET, PUT or DELETE whose
-            # connection broke. A put or delete that took effect would run
-            # twice and its caller would never hear of the lost answer. The
-            # switch is the one that aiohttp's own test client uses.
+            # aiohttp retries idempotent methods when a connection breaks,
+            # which would apply a write twice and hide the lost response;
+            # aiohttp's own test client disables it in the same way.
             session._retry_connection = False
             self._pool = _Pool(session)
         return self._pool
 
 
 def _trace_connections() -> TraceConfig:
-    """Note in each request's context when it has a connection.
+    """Mark each request's context once it has a connection.
 
-    Only before that is it certain that nothing was sent: the errors of a
-    request do not tell it, a timeout least of all.
+    Before that nothing was sent; the exception alone does not tell.
     """
 
     async def mark_connected(session, context, params):
--- a/dahliashunt/adapters/table/tests/test_table.py
+++ b/dahliashunt/adapters/table/tests/test_table.py
@@ -33,7 +33,7 @@
 
 @pytest.fixture(params=[http_table, memory_table], ids=["http", "memory"])
 def on_table(request):
-    """Run a test's coroutine on each kind of table."""
+    """Run a test's coroutine on each table adapter."""
 
     def run(test):
         async def body():
@@ -109,9 +109,7 @@
 
 
 def test_a_lost_answer_leaves_the_outcome_unknown(on_table):
-    # An operator's change is written, and the answer is lost on the way.
-    # Were it reported as "no effect", the change would be sent again or
-    # refused to the operator while it is in force.
+    # Guards against reporting a write that took effect as failed.
     async def test(table, faults):
         faults.drop_answers = 1
         with pytest.raises(WriteOutcomeUnknown):
@@ -151,9 +149,8 @@
 
 
 def test_after_a_silence_the_next_call_uses_a_new_connection():
-    # A firewall forgets the open connections to the table; the table is
-    # well. Every call on a kept connection would wait for its time limit,
-    # one after the other, until the last of them was used up.
+    # Guards against calls that time out one after the other on pooled
+    # connections whose state a firewall has dropped.
     async def test():
         async with http_table() as (table, faults):
             calls = [table.read("a") for _ in range(5)]
--- a/dahliashunt/adapters/table/tests/test_tls.py
+++ b/dahliashunt/adapters/table/tests/test_tls.py
@@ -12,7 +12,7 @@
 from dahliashunt.standins import create_app
 from dahliashunt.standins import serve
 
-# Key and certificate of 127.0.0.1, signed by itself, for these tests only.
+# Self-signed test certificate and key for 127.0.0.1.
 PEM = str(pathlib.Path(__file__).with_name("loopback.pem"))
 
 
--- a/dahliashunt/adapters/tests/test_sockets.py
+++ b/dahliashunt/adapters/tests/test_sockets.py
@@ -5,9 +5,7 @@
 
 
 def test_accepted_connections_do_not_wait_for_acknowledgements():
-    # Every streamed answer takes 40 ms longer than its engine needs. The
-    # accepted socket does not say that it is TCP, so asyncio leaves
-    # Nagle's algorithm on, and a second small write is held back.
+    # Guards against Nagle's algorithm delaying small writes of a stream.
     async def nodelay():
         seen = asyncio.get_running_loop().create_future()
 
