--- a/dahliashunt/adapters/http1/__init__.py
+++ b/dahliashunt/adapters/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client connections whose every byte is accounted for."""
+"""HTTP/1.1 client that tells whether a request was sent."""
 
 from dahliashunt.adapters.http1.connection import ConnectFailed
 from dahliashunt.adapters.http1.connection import End
--- a/dahliashunt/adapters/http1/connection.py
+++ b/dahliashunt/adapters/http1/connection.py
@@ -1,9 +1,8 @@
-"""One client connection: one request at a time, surplus bytes end it.
+"""HTTP/1.1 client connection with one request at a time.
 
-The parser is httptools'; what is added is the accounting that a library
-client hides: whether a request's bytes were handed to the socket, whether
-an answer was framed and whole, and whether bytes came that belong to no
-request. Nothing is ever sent again from here.
+Unlike library clients, it tells whether a request was written to the
+socket, whether its response was framed and complete, and whether bytes
+came that belong to no request. It never retries a request.
 """
 
 import asyncio
@@ -25,45 +24,45 @@
 ]
 
 USER_TIMEOUT_MS = 2_500
-"""Unacknowledged bytes for so long end a connection: a peer without power
-answers nothing, and the system's own limit is minutes."""
+"""Time for which sent bytes may stay unacknowledged; the system's default
+is minutes."""
 
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-"""Keep-alive probes find a silent peer in about 3 s."""
+"""TCP keep-alive: a silent peer is detected in about 3 s."""
 
 READ_HIGH_WATER_BYTES = 262_144
-"""Unread bytes at which the socket is left unread: bounds the memory that
-one fast sender before a slow reader can take."""
+"""Unconsumed body bytes above which reading pauses, to bound the memory of
+a connection with a slow reader."""
 
 _NO_BODY = (204, 304)
-"""Statuses whose answers end with their headers."""
+"""Statuses of responses without a body."""
 
 
 class ConnectFailed(DahliashuntError):
-    """No connection was made; certainly nothing was sent."""
+    """No connection was made, so that nothing was sent."""
 
 
 class End(enum.Enum):
-    """How an answer ended."""
+    """Ways in which a response ends."""
 
     WHOLE = "whole"
-    """Framed, and its last byte came."""
+    """The response was framed and complete."""
 
     CLOSED = "closed"
-    """Had no length, and the peer closed in order."""
+    """The response had no length and ended with an orderly close."""
 
     BROKEN = "broken"
-    """Reset, cut short, or not HTTP."""
+    """The response was reset, truncated or malformed."""
 
     UNSENT = "unsent"
-    """Not a byte of the request was handed to the system."""
+    """No byte of the request was passed to the operating system."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Status and headers of an answer.
+    """Status and headers of a response.
 
     Attributes
     ----------
@@ -84,14 +83,17 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """One connection. Events of an exchange: head, bytes..., end.
+    """HTTP/1.1 client connection.
+
+    The events of an exchange are a `ResponseHead`, parts of the body as
+    bytes, and an `End`.
 
     Attributes
     ----------
     usable : bool
-        Whether another request may be sent on it.
+        Whether the connection may carry another request.
     idle_since_ms : int
-        Set by the pool.
+        Time since when it is idle; set by the pool.
     """
 
     def __init__(self):
@@ -109,14 +111,14 @@
         self._unread = 0
         self._paused = False
 
-    # The socket's side.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport):
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = transport
 
     def data_received(self, data):
-        """Parse; bytes outside an exchange end the connection."""
+        """Parse `data`; abort the connection if no exchange is open."""
         if self._mailbox is None:
             self.abort()
             return
@@ -126,7 +128,7 @@
             self._finish(End.BROKEN)
 
     def eof_received(self):
-        """Take an orderly close as the end of an answer without length."""
+        """End a response without length; others are broken by a close."""
         if self._mailbox is not None and self._headers is None:
             self._finish(End.BROKEN if self._framed else End.CLOSED)
         return False
@@ -136,10 +138,10 @@
         self.usable = False
         self._finish(End.BROKEN)
 
-    # The parser's side.
+    # Callbacks of the parser.
 
     def on_message_begin(self):
-        """Refuse a second answer to one request."""
+        """Abort the connection on a response without a request."""
         if self._mailbox is None:
             self.abort()
             return
@@ -156,7 +158,7 @@
         self._headers.append((key, value.decode("latin-1")))
 
     def on_headers_complete(self):
-        """Hand out the head, or skip an answer to another request."""
+        """Deliver the head, or skip the response to another request."""
         if self._mailbox is None:
             return
         status = self._parser.get_status_code()
@@ -167,15 +169,14 @@
             return
         self._skipping = not self._accept(head)
         if self._skipping:
-            # What comes late for an earlier request belongs to nobody;
-            # the answer that is waited for still follows.
+            # A late response to an earlier request; the expected one follows.
             self.usable = False
             return
         self._apply_connection_headers(head)
         self._mailbox.put(head)
 
     def on_body(self, data):
-        """Hand out a part of the body."""
+        """Deliver a part of the body."""
         if self._mailbox is None or self._skipping:
             return
         self._mailbox.put(data)
@@ -213,16 +214,16 @@
         if not self.usable:
             self.abort()
 
-    # The caller's side.
+    # Methods for the caller.
 
     def start(self, request: bytes, accept=None) -> Mailbox:
-        """Send `request`; return the mailbox of its exchange.
+        """Send `request`; return the mailbox that gets its events.
 
         Parameters
         ----------
         request : bytes
         accept : callable, optional
-            Given a `ResponseHead`, tells whether it answers this request.
+            Returns whether a given `ResponseHead` answers this request.
         """
         self._parser = httptools.HttpResponseParser(self)
         self._mailbox = Mailbox()
@@ -237,13 +238,11 @@
         return mailbox
 
     def _try_write(self, request):
-        """Write `request`; tell whether the system took any of it.
+        """Write `request`; return whether any of it may have been sent.
 
-        The failure it guards against: a replica that has gone resets the
-        connection before the request is written, and the request ends as
-        "may have run", which for a call that may run once is a 502. The
-        transport writes at once while it holds nothing back, and closes
-        if that fails, so that a closed transport means that nothing went.
+        A transport with an empty buffer writes at once and closes if that
+        fails, so a closed one proves that nothing was sent: the request
+        may be retried elsewhere.
         """
         if self.transport.is_closing():
             return False
@@ -251,7 +250,7 @@
         return not self.transport.is_closing()
 
     def taken(self, size: int) -> None:
-        """Say that `size` bytes of the body were used; reads go on."""
+        """Mark `size` bytes of the body as consumed; resume paused reads."""
         self._unread -= size
         if self._paused and self._unread <= READ_HIGH_WATER_BYTES // 2:
             self._paused = False
@@ -259,7 +258,7 @@
                 self.transport.resume_reading()
 
     def abort(self) -> None:
-        """Close at once; an open exchange ends as broken."""
+        """Close at once, which breaks an exchange in progress."""
         self.usable = False
         if self.transport is not None:
             self.transport.abort()
@@ -268,12 +267,12 @@
 async def open_connection(
     host: str, port: int, timeout_ms: int
 ) -> HttpConnection:
-    """Connect, with limits on silence set on the socket.
+    """Connect and set the socket's timeouts.
 
     Raises
     ------
     ConnectFailed
-        Refused, unreachable, or not made in `timeout_ms`.
+        The connection was refused or not made within `timeout_ms`.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -282,7 +281,9 @@
                 HttpConnection, host, port
             )
     except (OSError, TimeoutError) as error:
-        raise ConnectFailed(f"{host}:{port}: {error!r}") from None
+        raise ConnectFailed(
+            f"cannot connect to {host}:{port}: {error!r}"
+        ) from None
     _set_socket_timeouts(connection.transport.get_extra_info("socket"))
     return connection
 
--- a/dahliashunt/adapters/http1/fetch.py
+++ b/dahliashunt/adapters/http1/fetch.py
@@ -1,4 +1,4 @@
-"""One request and its whole answer, within a time limit."""
+"""Send one request and read its complete response within a time limit."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """An answer with its complete body."""
+    """Response with its complete body."""
 
     head: ResponseHead
     body: bytes
@@ -21,10 +21,10 @@
 async def exchange_whole(
     connection: HttpConnection, request: bytes, clock: Clock, limit_ms: int
 ) -> HttpResponse | None:
-    """Send `request`; return the answer, or None if none came whole.
+    """Send `request`; return its response, or None if it is incomplete.
 
-    A connection that gave no whole answer in `limit_ms` is closed: what
-    it may still deliver would be taken for the answer to a later request.
+    On a timeout the connection is closed, so that a late response is not
+    read as the answer to a later request.
     """
     mailbox = connection.start(request)
     until_ms = clock.now_ms() + limit_ms
--- a/dahliashunt/adapters/http1/pool.py
+++ b/dahliashunt/adapters/http1/pool.py
@@ -1,4 +1,4 @@
-"""Idle connections by address, newest first."""
+"""Pool of idle connections, which reuses the newest first."""
 
 from dahliashunt.adapters.http1.connection import HttpConnection
 from dahliashunt.adapters.http1.connection import open_connection
@@ -7,19 +7,18 @@
 __all__ = ["ConnectionPool"]
 
 CONNECT_TIMEOUT_MS = 400
-"""Most time for a connection: some tens of round trips within a region,
-and under the second after which a lost opening packet is sent again."""
+"""Longest time to connect: many round trips within a region, but less than
+the 1 s after which TCP retransmits a lost SYN."""
 
 MAX_IDLE_MS = 4_000
-"""Longest idle time before reuse where the peer states none: most servers
-close after 5 s or more."""
+"""Longest idle time before reuse; most servers close after 5 s or more."""
 
 KEEP_ALIVE_MARGIN_MS = 500
-"""Subtracted from the idle time that a peer states, since it counts from
-its own side and a request may cross its close."""
+"""Margin below the peer's keep-alive timeout, so that a request does not
+cross the peer's close."""
 
 MAX_IDLE_PER_ADDRESS = 16
-"""Idle connections kept an address: one replica's slots, twice."""
+"""Most idle connections kept for one address."""
 
 
 class ConnectionPool:
@@ -40,12 +39,12 @@
     async def take(
         self, address: tuple[str, int], idle_ms: int = MAX_IDLE_MS
     ) -> HttpConnection:
-        """Return a connection that was idle `idle_ms` at most, or new.
+        """Return a connection idle for less than `idle_ms`, or a new one.
 
         Raises
         ------
         ConnectFailed
-            A new one was needed and could not be made.
+            A new connection could not be made.
         """
         idle = self._idle_by_address.get(address)
         now_ms = self._clock.now_ms()
@@ -59,7 +58,7 @@
         return await open_connection(*address, self._connect_ms)
 
     def has_idle(self, address: tuple[str, int]) -> bool:
-        """Tell whether `take` would return a connection that stands."""
+        """Return whether `take` would reuse a connection."""
         now_ms = self._clock.now_ms()
         idle = self._idle_by_address.get(address, ())
         return any(self._is_fresh(each, now_ms, MAX_IDLE_MS) for each in idle)
@@ -77,7 +76,7 @@
     def give_back(
         self, address: tuple[str, int], connection: HttpConnection
     ) -> None:
-        """Keep `connection` if it may be used again, else close it."""
+        """Keep `connection` for reuse if it is usable, else close it."""
         if not connection.usable or connection.transport.is_closing():
             connection.abort()
             return
@@ -88,7 +87,7 @@
             idle.pop(0).abort()
 
     def sweep(self) -> None:
-        """Close what was idle for too long."""
+        """Close connections that were idle for too long."""
         now_ms = self._clock.now_ms()
         for address, idle in list(self._idle_by_address.items()):
             kept = []
--- a/dahliashunt/adapters/http1/request.py
+++ b/dahliashunt/adapters/http1/request.py
@@ -1,4 +1,4 @@
-"""Write the bytes of one HTTP/1.1 request."""
+"""Encode HTTP/1.1 requests."""
 
 __all__ = ["encode_request"]
 
@@ -9,14 +9,14 @@
     headers: list[tuple[str, str]],
     body: bytes = b"",
 ) -> bytes:
-    r"""Return a request with a body of known length.
+    r"""Return an encoded request with a body of known length.
 
     Parameters
     ----------
     method, target : str
-        As they go on the wire.
+        Method and request target of the request line.
     headers : list of pairs
-        Without a length, which is added.
+        Names and values; Content-Length is added.
     body : bytes
 
     Examples
--- a/dahliashunt/adapters/http1/tests/test_connection.py
+++ b/dahliashunt/adapters/http1/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""Answers that are late, doubled, cut or silent on one connection."""
+"""Late, surplus, truncated and missing responses on one connection."""
 
 import asyncio
 import contextlib
@@ -17,14 +17,14 @@
 from dahliashunt.adapters.http1 import ResponseHead
 
 RESET = struct.pack("ii", 1, 0)
-"""Linger for no time: closing sends a reset."""
+"""SO_LINGER value with which a close sends a reset."""
 
 REQUEST = encode_request("GET", "/", [("Host", "h")])
 
 
 @contextlib.asynccontextmanager
 async def server(*parts, close=False, reset=False):
-    """Serve `parts` one after the other to whoever connects."""
+    """Send `parts` in order on each connection."""
 
     async def connected(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
@@ -54,7 +54,7 @@
 
 
 async def exchange(address, accept=None):
-    """Return the events of one exchange, up to its end."""
+    """Return the events of one exchange and its connection."""
     connection = await open_connection(*address, 1000)
     mailbox = connection.start(REQUEST, accept)
     events = []
@@ -97,17 +97,14 @@
 
 
 def test_an_answer_without_length_that_is_reset_is_broken():
-    # A reset may have thrown away bytes on the way: such an answer must
-    # not be taken for whole.
+    # Guards against taking a response truncated by a reset for complete.
     events, _ = run_exchange(head() + b"ok", reset=True)
     assert events[-1] is End.BROKEN
 
 
 def test_a_request_that_meets_a_reset_was_never_sent():
-    # The peer resets the connection between its opening and the request, as
-    # one that has gone does. The reset is known to the system but not yet
-    # read here: writing fails, so that nothing was sent and "not run" is
-    # certain. Taken for lost, the request may not go elsewhere.
+    # Guards against reporting a request as lost, and so not retrying it,
+    # when the peer reset the connection before it was written.
     async def main():
         with socket.create_server(("127.0.0.1", 0)) as listening:
             address = listening.getsockname()
@@ -137,8 +134,7 @@
 
 
 def test_surplus_bytes_end_the_connection():
-    # A second answer in the same packet would be read as the answer to
-    # the next caller's request.
+    # Guards against reading a surplus response as the next caller's.
     answer = head(content_length=2) + b"ok"
     events, usable = run_exchange(answer + head(content_length=3) + b"bad")
     assert body(events) == b"ok"
@@ -146,8 +142,7 @@
 
 
 def test_a_late_answer_to_an_earlier_request_is_skipped():
-    # The answer before ours names another request's id. It belongs to
-    # nobody; ours still follows on the same connection.
+    # Guards against delivering a late response to another request.
     late = head(content_length=3, x_id="old") + b"bad"
     ours = head(content_length=2, x_id="new") + b"ok"
     events, usable = run_exchange(
--- a/dahliashunt/adapters/slots/__init__.py
+++ b/dahliashunt/adapters/slots/__init__.py
@@ -1,4 +1,4 @@
-"""Datagrams about replicas' slots between entries and agents."""
+"""Slot protocol between entries and agents, over datagrams."""
 
 from dahliashunt.adapters.slots.client import SlotAttempt
 from dahliashunt.adapters.slots.client import SlotClient
--- a/dahliashunt/adapters/slots/client.py
+++ b/dahliashunt/adapters/slots/client.py
@@ -1,4 +1,4 @@
-"""An entry's side: ask agents for slots, renew, release, obey revokes."""
+"""Entry's side of the slot protocol: request, renew and release slots."""
 
 import asyncio
 from dataclasses import dataclass
@@ -21,20 +21,19 @@
 __all__ = ["KnownState", "SlotAttempt", "SlotClient"]
 
 RESEND_INTERVAL_MS = 25
-"""An ask without answer is sent again after so long: some ten round trips
-within a region, and little of a 300 ms objective."""
+"""Time after which an unanswered request is sent again: several round trips
+within a region."""
 
 MAX_SENDS = 3
-"""Asks without answer after which the agent is taken as silent."""
+"""Unanswered sends of one request after which the agent counts as silent."""
 
 ANSWER_TIMEOUT_MS = RESEND_INTERVAL_MS * MAX_SENDS
-"""An agent that has not answered a renewal for so long is silent. It is
-then probed, not asked: requests go to its replica directly."""
+"""Time without an answer after which an agent counts as silent. Requests
+then go to its replica directly, and the agent is only probed."""
 
 MAX_PROBES = 30
-"""Probes of a silent agent between two renewals' pace. After a restart of
-everything an agent is heard within one probe of its start; one that is
-gone for good costs no more than the renewals."""
+"""Probes of a silent agent; after these only renewals are sent to it, which
+bounds the traffic to an agent that does not return."""
 
 _USE = {Use.ONLINE: SlotUse.ONLINE, Use.BATCH: SlotUse.BATCH}
 _VERDICT = {
@@ -47,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownState:
-    """What an agent last said of its replica, and when."""
+    """Replica state that an agent last sent, with its time of receipt."""
 
     state: AllocatorState
     at_ms: int
@@ -55,21 +54,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotAttempt:
-    """What a slot is asked for.
+    """Attempt for which a slot is requested.
 
     Attributes
     ----------
     attempt_id : str
-        Of this ask; one request may hold a slot and ask for another.
+        Id of this slot request; one caller's request may have several.
     run_id : str
-        The request's id, under which the replica lists it.
+        Id under which the replica lists the caller's request.
     use : Use
     slack_ms : int
-        Of a batch item: time until it is due.
+        Time until a batch item is due.
     on_revoke : callable
-        Called without arguments when a granted slot is taken back.
+        Called without arguments when a granted slot is revoked.
     rank : int
-        0 is the most urgent.
+        Priority; 0 is the most urgent.
     """
 
     attempt_id: str
@@ -94,7 +93,7 @@
 
 
 class SlotClient:
-    """Asks agents. One attempt is asked at one agent at a time.
+    """Requests slots from agents, each attempt at one agent at a time.
 
     Parameters
     ----------
@@ -103,8 +102,9 @@
     Attributes
     ----------
     known_by_address : dict
+        Last `KnownState` of each agent.
     on_reading : callable
-        Called with an agent's host and each `UsageReading` of it.
+        Called with an agent's host and each `UsageReading` from it.
     """
 
     def __init__(self, clock: Clock):
@@ -125,10 +125,10 @@
             self._datagrams.close()
 
     def is_silent(self, address: tuple[str, int]) -> bool:
-        """Tell whether the agent at `address` leaves calls unanswered.
+        """Return whether the agent at `address` leaves requests unanswered.
 
-        It is until a datagram of it comes. One that was never called is
-        not silent.
+        Any datagram from the agent ends its silence. An agent to which
+        nothing was sent is not silent.
         """
         unanswered = self._unanswered_by_address.get(address)
         if unanswered is None:
@@ -138,17 +138,17 @@
     async def ask(
         self, attempt: SlotAttempt, address, wait_ms: int
     ) -> SlotDecision | None:
-        """Ask for a slot; return the final verdict, None if no answer.
+        """Request a slot; return the agent's decision, or None if silent.
 
-        Waits `wait_ms` at most where the agent queues the ask. After
-        anything but GRANTED nothing is held.
+        Unless the result is GRANTED, no slot is held.
 
         Parameters
         ----------
         attempt : SlotAttempt
         address : (str, int)
-            Of the agent.
+            Address of the agent.
         wait_ms : int
+            Longest wait in the agent's queue.
         """
         attempt_id = attempt.attempt_id
         claim = _SlotClaim(address, None, attempt.on_revoke)
@@ -200,14 +200,14 @@
         return verdict
 
     def release(self, attempt_id) -> None:
-        """Give back what `attempt_id` holds or waits for."""
+        """Release the slot that `attempt_id` holds or waits for."""
         claim = self._claim_by_id.pop(attempt_id, None)
         if claim is not None:
             frame = SlotFrame(release=SlotRelease(attempt_id))
             self._datagrams.send(frame, claim.address)
 
     def renew(self, addresses) -> None:
-        """Renew what is held, and ask `addresses` to send their states."""
+        """Renew all held slots and request the states of `addresses`."""
         ids_by_address = {address: [] for address in addresses}
         for attempt_id, claim in self._claim_by_id.items():
             ids_by_address.setdefault(claim.address, []).append(attempt_id)
@@ -220,17 +220,15 @@
             )
 
     def tell_use(self, address: tuple[str, int], report: UsageReport) -> None:
-        """Send a report of a workspace's use to the agent at `address`."""
+        """Send a workspace's usage report to the agent at `address`."""
         frame = SlotFrame(use_report=encode_report(report))
         self._datagrams.send(frame, address)
 
     def probe(self) -> None:
-        """Ask silent agents for their states again.
+        """Request the states of silent agents again.
 
-        The failure it is for: everything is restarted, entries are up
-        before agents, and until the next renewal an entry sends to a
-        replica at a quarter of its slots, or waits for an agent that has
-        long been up at another entry's request.
+        Without it, an entry that starts before the agents would treat them
+        as silent until the next renewal.
         """
         for address, unanswered in self._unanswered_by_address.items():
             if not self.is_silent(address):
@@ -258,7 +256,7 @@
         claim = self._claim_by_id.get(answer.attempt_id)
         if claim is None or claim.address != address:
             if answer.verdict == SlotVerdict.GRANTED:
-                # Granted after this side gave up: give it back at once.
+                # The grant came after the request was abandoned.
                 release = SlotRelease(answer.attempt_id)
                 self._datagrams.send(SlotFrame(release=release), address)
             return
@@ -281,7 +279,7 @@
         )
 
     def forget_but(self, addresses) -> None:
-        """Drop what is known of agents that are not in `addresses`."""
+        """Discard the state of agents that are not in `addresses`."""
         for address in list(self.known_by_address):
             if address not in addresses:
                 del self.known_by_address[address]
--- a/dahliashunt/adapters/slots/datagrams.py
+++ b/dahliashunt/adapters/slots/datagrams.py
@@ -14,12 +14,12 @@
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """One UDP socket; frames go to a receiver, others are counted.
+    """UDP socket that passes decoded frames to a receiver.
 
     Attributes
     ----------
     refused : int
-        Datagrams that were no frames.
+        Number of datagrams that could not be decoded.
     """
 
     def __init__(self, receive):
@@ -28,22 +28,22 @@
         self.refused = 0
 
     def connection_made(self, transport):
-        """Keep the transport."""
+        """Store the transport (called by asyncio)."""
         self._transport = transport
 
     def datagram_received(self, data, addr):
-        """Decode and hand on; bytes of a foreign sender are dropped."""
+        """Pass the decoded frame on; drop a malformed datagram."""
         try:
             frame = deserialize(SlotFrame(), data, protocol_factory=_FACTORY)
         except Exception:
-            # The accelerated decoder raises plain exceptions of its own;
-            # any sender on the network must not stop this task.
+            # The accelerated decoder raises plain exceptions on bytes that
+            # are not thrift, which any sender on the network can cause.
             self.refused += 1
             return
         self._receive(frame, addr)
 
     def error_received(self, exc):
-        """Ignore: no listener there; the requester's time limit decides."""
+        """Ignore the error: the sender's time limit covers it."""
 
     def send(self, frame: SlotFrame, address: tuple[str, int]) -> None:
         """Send one datagram."""
@@ -53,7 +53,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where this socket is bound."""
+        """Local address of the socket."""
         return self._transport.get_extra_info("sockname")
 
     def close(self) -> None:
@@ -63,7 +63,7 @@
 
 
 async def open_datagrams(receive, host: str, port: int) -> Datagrams:
-    """Bind a socket whose frames go to ``receive(frame, address)``."""
+    """Bind a socket that passes frames to ``receive(frame, address)``."""
     loop = asyncio.get_running_loop()
     _, datagrams = await loop.create_datagram_endpoint(
         lambda: Datagrams(receive), local_addr=(host, port)
--- a/dahliashunt/adapters/slots/server.py
+++ b/dahliashunt/adapters/slots/server.py
@@ -1,4 +1,4 @@
-"""An agent's side: ask the allocator's decisions and send them."""
+"""Agent's side of the slot protocol: serve the slot allocator's decisions."""
 
 from dahliashunt.adapters.slots.datagrams import open_datagrams
 from dahliashunt.adapters.slots.usage_codec import decode_report
@@ -21,8 +21,8 @@
 __all__ = ["SlotServer"]
 
 LISTENER_TIMEOUT_MS = 5_000
-"""Entries that sent nothing for so long get no more states; they send
-renewals every second."""
+"""Time without a datagram after which an entry gets no more states; entries
+renew every second."""
 
 _USE = {SlotUse.ONLINE: Use.ONLINE, SlotUse.BATCH: Use.BATCH}
 _VERDICT = {
@@ -34,7 +34,7 @@
 
 
 class SlotServer:
-    """Serves one `SlotAllocator`, and one `Meter`, over datagrams.
+    """Serves one `SlotAllocator` and one `Meter` over datagrams.
 
     Parameters
     ----------
@@ -58,16 +58,16 @@
         self.instance_id = None
 
     async def start(self, host: str, port: int) -> None:
-        """Take datagrams at `host` and `port`."""
+        """Bind to `host` and `port` and receive datagrams."""
         self._datagrams = await open_datagrams(self._on_frame, host, port)
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where datagrams are taken."""
+        """Local address of the socket."""
         return self._datagrams.address
 
     def stop(self) -> None:
-        """Take no more."""
+        """Close the socket."""
         if self._datagrams is not None:
             self._datagrams.close()
 
@@ -87,8 +87,8 @@
             self._send_all(self.allocator.release(attempt_id, now_ms))
         elif frame.held is not None:
             self.allocator.renew(frame.held.attempt_ids, requester, now_ms)
-            # Answered in any case: an entry must tell an agent that has
-            # nothing new to say from one that is gone.
+            # The answer distinguishes an agent whose state has not changed
+            # from one that is gone.
             self._datagrams.send(SlotFrame(state=self._state()), requester)
 
     def _on_usage_report(self, now_ms, wire, requester):
@@ -100,7 +100,7 @@
         self._datagrams.send(frame, requester)
 
     def report(self, running: frozenset, waiting: int) -> None:
-        """Take over what the replica says, and act on it."""
+        """Pass the replica's load report to the allocator."""
         now_ms = self._clock.now_ms()
         self._send_all(self.allocator.report(running, waiting, now_ms))
 
@@ -133,7 +133,7 @@
         )
 
     def publish(self) -> None:
-        """Tell entries that were heard lately, if anything changed."""
+        """Send a changed state to the entries that were heard recently."""
         state = self._state()
         if state == self._last_state:
             return
--- a/dahliashunt/adapters/slots/tests/test_slots.py
+++ b/dahliashunt/adapters/slots/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Entries and an agent over loopback datagrams."""
+"""Slot protocol between entries and an agent over loopback datagrams."""
 
 import asyncio
 
@@ -115,8 +115,7 @@
 
 
 def test_a_silent_agent_is_left_alone_for_a_while(run_scenario):
-    # The agent's machine is gone. Each request would otherwise lose the
-    # time of all its asks before it goes to the replica directly.
+    # Guards against requests that each wait for all sends to a lost agent.
     async def scenario(fleet):
         entry = await fleet.entry()
         fleet.server.stop()
@@ -127,8 +126,7 @@
 
 
 def test_an_agent_that_is_back_is_heard_before_the_next_renewal(run_scenario):
-    # Everything was restarted and entries are up first. Until an agent is
-    # heard a quarter of its replica's slots is used.
+    # Guards against a restarted agent staying unused until the next renewal.
     async def scenario(fleet):
         entry = await fleet.entry()
         host, port = fleet.address
@@ -145,8 +143,7 @@
 
 
 def test_a_quiet_agent_is_not_taken_for_a_silent_one(run_scenario):
-    # Nothing changes at a replica for a minute, so that its agent has no
-    # news. It answers renewals all the same.
+    # Guards against treating an agent without state changes as silent.
     async def scenario(fleet):
         entry = await fleet.entry()
         for _ in range(3):
--- a/dahliashunt/adapters/slots/usage_codec.py
+++ b/dahliashunt/adapters/slots/usage_codec.py
@@ -1,4 +1,4 @@
-"""Reports and readings of workspaces' use, as they go over the wire."""
+"""Encode and decode workspaces' usage reports and readings."""
 
 from dahliashunt.adapters.wire.gen.link.ttypes import UseLimit
 from dahliashunt.adapters.wire.gen.link.ttypes import UseReading
@@ -16,11 +16,11 @@
 ]
 
 MIN_RATE = 0.001
-"""Requests a second; waits are divided by it."""
+"""Lower bound of a rate in requests a second, since waits divide by it."""
 
 
 def encode_report(report: UsageReport) -> UseReport:
-    """Return the wire's form of `report`."""
+    """Return `report` as a thrift struct."""
     return UseReport(
         workspace=report.workspace,
         life=report.life,
@@ -35,7 +35,7 @@
 
 
 def decode_report(wire: UseReport) -> UsageReport:
-    """Return the report in `wire`; a field that is missing counts as 0."""
+    """Return the report in `wire`; a missing field counts as 0."""
     return UsageReport(
         workspace=wire.workspace or 0,
         life=wire.life or 0,
@@ -48,7 +48,7 @@
 
 
 def encode_reading(reading: UsageReading) -> UseReading:
-    """Return the wire's form of `reading`."""
+    """Return `reading` as a thrift struct."""
     newer = reading.newer
     return UseReading(
         workspace=reading.workspace,
@@ -65,7 +65,7 @@
 
 
 def decode_reading(wire: UseReading) -> UsageReading:
-    """Return the reading in `wire`; a field that is missing counts as 0."""
+    """Return the reading in `wire`; a missing field counts as 0."""
     return UsageReading(
         workspace=wire.workspace or 0,
         life=wire.life or 0,
