--- a/dahliashunt/adapters/__init__.py
+++ b/dahliashunt/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters behind the ports, one folder each."""
+"""Adapters that implement the ports."""
--- a/dahliashunt/adapters/clock/__init__.py
+++ b/dahliashunt/adapters/clock/__init__.py
@@ -1,4 +1,4 @@
-"""Clocks: the machine's, and a virtual one for tests and experiments."""
+"""Clocks: the system's, and a virtual one for tests and simulations."""
 
 from dahliashunt.lazy import lazy_names
 
--- a/dahliashunt/adapters/clock/system.py
+++ b/dahliashunt/adapters/clock/system.py
@@ -1,4 +1,4 @@
-"""The machine's clock."""
+"""System clock."""
 
 import asyncio
 import time
@@ -16,7 +16,7 @@
         return time.monotonic_ns() // _NS_IN_MS
 
     def wall_ms(self) -> int:
-        """Return milliseconds since 1970."""
+        """Return milliseconds since the Unix epoch."""
         return time.time_ns() // _NS_IN_MS
 
     async def sleep_ms(self, delay_ms: int) -> None:
--- a/dahliashunt/adapters/clock/virtual.py
+++ b/dahliashunt/adapters/clock/virtual.py
@@ -1,4 +1,4 @@
-"""A clock that a test moves by hand."""
+"""Virtual clock that tests advance explicitly."""
 
 import asyncio
 import heapq
@@ -8,12 +8,12 @@
 
 
 class VirtualClock:
-    """`Clock` whose time passes only by `advance`.
+    """`Clock` that moves only by `advance`.
 
     Parameters
     ----------
     start_ms : int
-        Where the monotonic clock starts.
+        Initial time.
     """
 
     def __init__(self, start_ms: int = 0):
@@ -30,14 +30,14 @@
         return self._now_ms
 
     async def sleep_ms(self, delay_ms: int) -> None:
-        """Wait until the clock was advanced far enough."""
+        """Wait until the clock is advanced by `delay_ms`."""
         done = asyncio.get_running_loop().create_future()
         wake_ms = self._now_ms + max(0, delay_ms)
         heapq.heappush(self._sleepers, (wake_ms, next(self._order), done))
         await done
 
     async def advance(self, by_ms: int) -> None:
-        """Move time on, waking sleepers in order on the way."""
+        """Advance the clock by `by_ms`, waking sleepers in order."""
         until_ms = self._now_ms + by_ms
         await _run_ready_tasks()
         while self._sleepers and self._sleepers[0][0] <= until_ms:
@@ -49,6 +49,6 @@
 
 
 async def _run_ready_tasks(rounds: int = 20):
-    """Let tasks that are ready run."""
+    """Yield to the event loop so that ready tasks run."""
     for _ in range(rounds):
         await asyncio.sleep(0)
--- a/dahliashunt/adapters/engine/__init__.py
+++ b/dahliashunt/adapters/engine/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters to model engines and plain services."""
+"""Adapters to model engines and to services without an engine's API."""
 
 from dahliashunt.adapters.engine.dialects import create_engine_adapter
 from dahliashunt.adapters.engine.dialects import DIALECTS
--- a/dahliashunt/adapters/engine/dialects.py
+++ b/dahliashunt/adapters/engine/dialects.py
@@ -1,4 +1,4 @@
-"""Registry of the ways to talk to a back end."""
+"""Registry of the adapters to back ends, by API dialect."""
 
 from dataclasses import replace
 import ssl
@@ -24,20 +24,12 @@
     keep_ms=4000,
     connections=0,
 )
-"""Defaults towards a model engine.
-
-Each stream holds a connection, so that a limit on these would hold back
-cancels. A request may wait in the engine's queue without a byte, so that
-silence shows later than from the platform. `total_ms` is for management
-calls; a call of a model or service brings its own limit.
-"""
+"""Defaults for a model engine. A limit on connections would delay cancels,
+and a queued request may send nothing for long, hence `idle_ms`."""
 
 SERVICE_LIMITS = replace(ENGINE_LIMITS, idle_ms=60_000)
-"""Defaults towards a plain service.
-
-It sends nothing while it works on a call, and a call that was given up
-cannot be taken up again, so that it may be silent for longer.
-"""
+"""Defaults for a plain service, which sends nothing while it works on a call
+that cannot be resumed."""
 
 
 def create_engine_adapter(
@@ -46,5 +38,5 @@
     limits: HttpLimits | None = None,
     tls: ssl.SSLContext | None = None,
 ) -> Engine:
-    """Return the adapter for a back end that speaks `dialect`."""
+    """Return an adapter for a back end with the API `dialect`."""
     return DIALECTS.get(dialect)(base_url, limits, tls)
--- a/dahliashunt/adapters/engine/exchange.py
+++ b/dahliashunt/adapters/engine/exchange.py
@@ -1,4 +1,4 @@
-"""One request to a back end, with its answer as pieces."""
+"""HTTP requests to a back end, with their responses streamed."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -40,9 +40,9 @@
 
 
 def response_headers(headers) -> dict[str, str]:
-    """Return the headers that are worth passing on, in lower case.
+    """Return the response headers to pass on, in lower case.
 
-    Repeated ones are joined, which all but Set-Cookie allow.
+    Repeated headers are joined, which all but Set-Cookie allow.
 
     Examples
     --------
@@ -58,20 +58,18 @@
 
 
 def request_headers(call: EngineCall, **defaults: str) -> dict[str, str]:
-    """Return the headers with which a call goes to its back end.
+    """Return the headers of the request to the back end.
 
     Parameters
     ----------
     call : EngineCall
     **defaults : str
-        Headers that are sent if the call has no others; underscores
-        stand for hyphens.
+        Headers that the call may override; underscores stand for hyphens.
 
     Notes
     -----
-    Headers of the caller's own connection are left out. Its length or
-    transfer coding passed on beside our own would let two servers read
-    one request's end at different places.
+    Headers of the caller's own connection are dropped. A second length or
+    transfer coding would allow request smuggling.
 
     Examples
     --------
@@ -90,7 +88,7 @@
 
 
 class EngineExchange:
-    """Requests to one back end; losses become the port's errors.
+    """Requests to one back end, with transport errors as the port's errors.
 
     Parameters
     ----------
@@ -119,7 +117,7 @@
         EngineUnreachable
             Nothing was sent.
         EngineLost
-            The request may have arrived.
+            The request may have arrived, but no complete response came.
         """
         url = self._base_url + path
         try:
--- a/dahliashunt/adapters/engine/http_engine.py
+++ b/dahliashunt/adapters/engine/http_engine.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP, in the OpenAI dialect."""
+"""Model engine over HTTP, in the OpenAI dialect."""
 
 from collections.abc import AsyncIterator
 from dataclasses import asdict
@@ -56,14 +56,14 @@
     async def call(
         self, call: EngineCall, timeout_ms: int
     ) -> AsyncIterator[EngineEvents]:
-        """Send `call`, yield its answer as it comes.
+        """Send `call`; yield its response as it arrives.
 
         Raises
         ------
         EngineUnreachable
             Nothing was sent.
         EngineLost
-            The stream did not come to its last event, ``[DONE]``.
+            The stream ended before its last event, ``[DONE]``.
         """
         async with self._exchange.send(
             call.method,
@@ -97,28 +97,28 @@
                 yield events
 
     async def streams(self) -> tuple[AttemptId, ...]:
-        """Return the attempts whose streams the engine still knows."""
+        """Return the attempts whose streams the engine still holds."""
         found = await self._call_management("GET", "/engine/streams")
         return tuple(found["streams"])
 
     async def cancel(self, attempt_id: AttemptId) -> None:
-        """Stop a stream; no error if it is gone."""
+        """Stop a stream; do nothing if it is gone."""
         await self._call_management(
             "DELETE", _stream_path(attempt_id), _NOT_FOUND
         )
 
     async def export_kv(self, attempt_id: AttemptId) -> str | None:
-        """Stop a stream and keep its KV cache; return a handle, or None."""
+        """Stop a stream; return a handle to its kept KV cache, or None."""
         path = f"{_stream_path(attempt_id)}/export"
         found = await self._call_management("POST", path, _NOT_FOUND)
         return found and found["handle"]
 
     async def load(self) -> EngineLoad:
-        """Return the engine's lagging load report."""
+        """Return the engine's load report, which may lag."""
         return EngineLoad(**await self._call_management("GET", "/engine/load"))
 
     async def state(self) -> EngineState:
-        """Return what the engine has loaded and its role."""
+        """Return the engine's role and models."""
         found = await self._call_management("GET", "/engine/state")
         return EngineState(
             incarnation=found["incarnation"],
@@ -130,15 +130,21 @@
         )
 
     async def order(self, order: Order) -> None:
-        """Ask for an end state; raises `StaleFence` where it is checked."""
+        """Request an end state.
+
+        Raises
+        ------
+        StaleFence
+            The engine checks fence tokens and has seen a newer one.
+        """
         answer = await self._call_management(
             "POST", "/engine/orders", _CONFLICT, json=asdict(order)
         )
         if answer is None:
-            raise StaleFence(f"fence {order.fence}")
+            raise StaleFence(f"engine refused stale fence {order.fence}")
 
     async def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
-        """Return cache events with ``seq > after``, late and with gaps."""
+        """Return cache events with ``seq > after``; some may be missing."""
         path = f"/engine/cache_events?after={after}"
         found = await self._call_management("GET", path)
         return tuple(CacheEvent(**each) for each in found["events"])
@@ -153,7 +159,7 @@
         Raises
         ------
         EngineError
-            The engine answered something else.
+            The status or the body is not as expected.
         """
         async with self._exchange.send(method, path, **content) as response:
             data = await response.read()
@@ -168,7 +174,7 @@
 
 
 async def _response_events(response) -> AsyncIterator[EngineEvents]:
-    """Yield an answer: a stream by its events, anything else whole."""
+    """Yield a stream by its events, any other response in one piece."""
     headers = response_headers(response.headers)
     if response.content_type != _SSE:
         data = await response.read()
@@ -180,9 +186,9 @@
 
 
 async def complete_events(content) -> AsyncIterator[bytes]:
-    """Yield all whole events of each read.
+    """Yield the complete events of each read.
 
-    An event that a read cuts is kept for the next one.
+    The rest of a read is prepended to the next one.
 
     Parameters
     ----------
@@ -191,8 +197,7 @@
     Raises
     ------
     EngineLost
-        The body ended before ``[DONE]``: its engine cut it off, and it
-        would look like a shorter answer.
+        The body ended before ``[DONE]``, so the response is truncated.
     """
     rest = b""
     last = b""
@@ -202,7 +207,7 @@
             last = whole + blank_line
             yield last
     if rest or not last.endswith(_LAST_EVENT):
-        raise EngineLost("the stream ended before its last event")
+        raise EngineLost("the stream ended before its [DONE] event")
 
 
 def _stream_path(attempt_id: AttemptId) -> str:
--- a/dahliashunt/adapters/engine/plain_service.py
+++ b/dahliashunt/adapters/engine/plain_service.py
@@ -1,4 +1,4 @@
-"""A plain service beside an agent: it only takes calls."""
+"""Plain service behind an agent, which only handles calls."""
 
 from collections.abc import AsyncIterator
 import ssl
@@ -24,7 +24,7 @@
 
 @DIALECTS.register("plain")
 class PlainService:
-    """`Engine` over a service that knows no streams, models or orders.
+    """`Engine` over a service without streams, models or orders.
 
     Parameters
     ----------
@@ -47,9 +47,9 @@
     async def call(
         self, call: EngineCall, timeout_ms: int
     ) -> AsyncIterator[EngineEvents]:
-        """Send `call` once, yield the pieces of its answer's body.
+        """Send `call` once; yield the body of its response in chunks.
 
-        At least one piece comes, so that an empty answer has its status.
+        An empty body yields one empty chunk, which carries the status.
         """
         self._running += 1
         try:
@@ -69,23 +69,23 @@
     async def resume(
         self, attempt_id: AttemptId, offset: int, timeout_ms: int
     ) -> AsyncIterator[EngineEvents]:
-        """Raise `StreamUnknown`: a service keeps no answers."""
-        raise StreamUnknown(f"a plain service keeps no answer: {attempt_id}")
-        yield  # makes this an asynchronous iterator, as the port says
+        """Raise `StreamUnknown`, since a service keeps no responses."""
+        raise StreamUnknown(f"plain service cannot resume {attempt_id}")
+        yield  # makes this an asynchronous generator, as the port requires
 
     async def streams(self) -> tuple[AttemptId, ...]:
         """Return no attempts."""
         return ()
 
     async def cancel(self, attempt_id: AttemptId) -> None:
-        """Do nothing: a call ends with its connection, if at all."""
+        """Do nothing: a service offers no way to cancel a call."""
 
     async def export_kv(self, attempt_id: AttemptId) -> str | None:
         """Return None."""
         return None
 
     async def load(self) -> EngineLoad:
-        """Return the number of calls under way through this adapter."""
+        """Return a load report with the calls in progress here."""
         return EngineLoad(
             running=self._running,
             waiting=0,
@@ -107,7 +107,7 @@
         )
 
     async def order(self, order: Order) -> None:
-        """Do nothing: there is nothing to load."""
+        """Do nothing: a service has no models."""
 
     async def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
         """Return no events."""
--- a/dahliashunt/adapters/engine/prefixes.py
+++ b/dahliashunt/adapters/engine/prefixes.py
@@ -1,37 +1,36 @@
-"""Names of the prefix blocks in which an engine caches prompts."""
+"""Hashes of the prefix blocks in which an engine caches prompts."""
 
 import hashlib
 
 __all__ = ["BLOCK_TOKENS", "TOKEN_CHARS", "prefix_blocks"]
 
 TOKEN_CHARS = 4
-"""Characters that count as one token."""
+"""Characters counted as one token."""
 
 BLOCK_TOKENS = 16
-"""Tokens in one cached block."""
+"""Tokens per cached block."""
 
 _BLOCK_CHARS = BLOCK_TOKENS * TOKEN_CHARS
 _NAME_BYTES = 6
 
 
 def prefix_blocks(model: str, text: str) -> tuple[int, ...]:
-    """Return the name of each whole prefix block of a prompt.
+    """Return the hash of each complete prefix block of a prompt.
 
-    A block's name depends on all that stands before it, so two prompts
-    share their first k names just as far as they share the text.
+    A block's hash covers all text before it, so two prompts share leading
+    hashes as far as they share text.
 
     Parameters
     ----------
     model : str
-        Caches of different models are apart.
+        Model name; caches of different models are separate.
     text : str
         The prompt, or the messages as one text.
 
     Notes
     -----
-    O(length of text), with one short hash a block. Names are 48-bit
-    numbers: they stay exact in JSON readers that keep every number as a
-    double.
+    O(length of text). Hashes have 48 bits, which a JSON number that is
+    read as a double holds exactly.
 
     Examples
     --------
--- a/dahliashunt/adapters/engine/tests/test_engine_adapters.py
+++ b/dahliashunt/adapters/engine/tests/test_engine_adapters.py
@@ -68,7 +68,7 @@
 
 
 async def loaded(engine):
-    """Return the engine's state once no load is under way."""
+    """Return the engine's state once no load is in progress."""
     state = await engine.state()
     while state.loading:
         state = await engine.state()
@@ -118,9 +118,7 @@
 
 
 def test_a_dropped_reader_can_come_back_to_its_stream():
-    # An agent is replaced in the middle of an answer. The caller's answer
-    # would be lost, or run twice, if the engine stopped with the agent's
-    # connection; it goes on and the new agent takes up the stream.
+    # Guards against losing or repeating a response when its agent restarts.
     async def test():
         async with back_end(base_ms=2) as (engine, standin):
             answer = engine.call(completion("a", 60), TIMEOUT_MS)
@@ -135,8 +133,7 @@
 
 
 def test_a_stream_whose_reader_never_comes_back_is_cancelled():
-    # An agent is lost for good. Its streams would fill the engine with
-    # answers that nobody reads, and online requests wait behind them.
+    # Guards against streams of a lost agent that keep the engine busy.
     async def test():
         options = {"orphan_ms": 20, "kv_tokens": 10**9}
         async with back_end(**options) as (engine, standin):
@@ -154,8 +151,7 @@
 
 
 def test_a_stream_cut_off_by_its_engine_is_an_error_not_an_end():
-    # The engine stops a stream and ends the HTTP body properly. Passed on
-    # as it is, the caller takes half an answer for a whole one.
+    # Guards against passing on a truncated stream as a complete response.
     async def test():
         async with back_end() as (engine, standin):
             answer = engine.call(completion("a", MANY_TOKENS), TIMEOUT_MS)
@@ -202,8 +198,7 @@
 
 
 def test_after_a_silence_the_stream_is_resumed_on_a_new_connection():
-    # The connection to an engine goes silent in mid-stream; the engine is
-    # well. The caller sees the answer stop, for good without the limit.
+    # Guards against a stream that hangs on a silent connection.
     async def test():
         async with back_end(base_ms=2) as (engine, standin):
             answer = engine.call(completion("a", 60), TIMEOUT_MS)
@@ -320,8 +315,7 @@
 
 
 def test_a_stamp_whose_answer_is_lost_is_not_repeated():
-    # A title is released and the answer is lost. A client that sends the
-    # call again by itself releases it twice.
+    # Guards against an HTTP client that retries a call that took effect.
     async def test():
         async with back_end("plain", "service") as (service, standin):
             for method in ("POST", "PUT", "DELETE"):
@@ -370,7 +364,7 @@
 
 
 class ChunkedBody:
-    """A body that comes in the given reads."""
+    """Response body that arrives in the given reads."""
 
     def __init__(self, reads):
         self.reads = reads
@@ -381,9 +375,7 @@
 
 
 def test_headers_of_the_callers_own_connection_are_left_out():
-    # A caller's chunked request is passed on with both its transfer coding
-    # and our length. Two servers may then see its end at different places,
-    # and the rest of one request as the start of another caller's.
+    # Guards against request smuggling by a transfer coding beside a length.
     async def test():
         headers = {
             "Transfer-Encoding": "chunked",
@@ -414,8 +406,7 @@
 
 
 def test_one_callers_cookie_does_not_go_out_with_the_next_call():
-    # A service sets a cookie for one caller. An HTTP client with a cookie
-    # jar sends it with the next caller's call, who then acts as the first.
+    # Guards against a cookie jar that sends one caller's cookie for another.
     async def test():
         async with recording_server("Set-Cookie: who=first") as (port, seen):
             service = create_engine_adapter(
@@ -434,7 +425,7 @@
 
 @contextlib.asynccontextmanager
 async def recording_server(header):
-    """Yield the port of a server and the heads of requests it answered."""
+    """Yield a server's port and the list of request heads it received."""
     heads = []
 
     async def answer(reader, writer):
--- a/dahliashunt/adapters/instances/http.py
+++ b/dahliashunt/adapters/instances/http.py
@@ -49,7 +49,7 @@
     Raises
     ------
     KeyError, ValueError
-        The object describes none.
+        A field is missing or has an invalid value.
     """
     return Instance(
         instance_id=fields["instance_id"],
--- a/dahliashunt/adapters/weights/http.py
+++ b/dahliashunt/adapters/weights/http.py
@@ -28,11 +28,11 @@
         self._calls = PlatformCalls(base_url, limits, tls)
 
     async def sizes(self) -> dict[str, int]:
-        """Return bytes by ``model@version`` or adapter name."""
+        """Return sizes in bytes by ``model@version`` or adapter name."""
         return await self._member("/sizes", "sizes")
 
     async def rate(self) -> int:
-        """Return the store's whole limit, bytes a second."""
+        """Return the store's total rate limit in bytes per second."""
         return await self._member("/rate", "rate")
 
     async def close(self):
--- a/dahliashunt/adapters/wire/codec.py
+++ b/dahliashunt/adapters/wire/codec.py
@@ -1,4 +1,4 @@
-"""Encode and decode frames: thrift's compact protocol behind a length.
+"""Codec of frames: a length prefix and thrift's compact protocol.
 
 References
 ----------
@@ -17,20 +17,20 @@
 __all__ = ["MAX_FRAME_BYTES", "FrameReader", "encode"]
 
 MAX_FRAME_BYTES = 16_000_000
-"""Longest frame taken; a longer one is a broken or foreign peer."""
+"""Longest frame accepted from a peer."""
 
 _LENGTH_PREFIX = struct.Struct(">I")
 _FACTORY = TCompactProtocolAcceleratedFactory()
 
 
 def encode(frame: Frame) -> bytes:
-    """Return `frame` as bytes on the wire."""
+    """Return the wire encoding of `frame`."""
     body = serialize(frame, protocol_factory=_FACTORY)
     return _LENGTH_PREFIX.pack(len(body)) + body
 
 
 class FrameReader:
-    """Cuts a byte stream into frames.
+    """Splits a byte stream into frames.
 
     Examples
     --------
@@ -47,12 +47,12 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Return the frames that are whole now that `data` has come.
+        """Add `data` to the buffer; return the frames that are complete.
 
         Raises
         ------
         LinkError
-            What came is not a frame; the connection must be closed.
+            The stream is malformed; the connection must be closed.
         """
         buffer = self._buffer
         buffer += data
@@ -61,7 +61,9 @@
         while len(buffer) - offset >= _LENGTH_PREFIX.size:
             (length,) = _LENGTH_PREFIX.unpack_from(buffer, offset)
             if length > MAX_FRAME_BYTES:
-                raise LinkError(f"frame of {length} bytes")
+                raise LinkError(
+                    f"frame of {length} bytes exceeds {MAX_FRAME_BYTES}"
+                )
             end = offset + _LENGTH_PREFIX.size + length
             if len(buffer) < end:
                 break
@@ -78,6 +80,6 @@
     try:
         return deserialize(Frame(), body, protocol_factory=_FACTORY)
     except Exception as error:
-        # The accelerated decoder raises plain exceptions of its own on
-        # bytes that are no thrift; a foreign peer must end its link only.
-        raise LinkError(f"not a frame: {error!r}") from None
+        # The accelerated decoder raises plain exceptions on bytes that are
+        # not thrift.
+        raise LinkError(f"malformed frame: {error!r}") from None
--- a/dahliashunt/adapters/wire/connection.py
+++ b/dahliashunt/adapters/wire/connection.py
@@ -1,8 +1,8 @@
-"""One TCP connection between two of the system's processes.
+"""TCP connection with frames between two of the system's processes.
 
-A `Connection` cuts what comes into frames and puts them into the mailbox
-of the task that owns it. Writes of one turn of the event loop leave as one
-segment.
+A `Connection` puts the frames that it receives into the mailbox of the task
+that owns it. Frames sent in one iteration of the event loop are written
+together.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 __all__ = ["Closed", "Connection", "Opened", "Received", "dial", "listen"]
 
 MAX_UNSENT_BYTES = 32_000_000
-"""A peer that lets this much pile up is cut off; resuming is safe."""
+"""Write buffer above which the connection is aborted; a peer can resume."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """Whole frames have come on a connection."""
+    """Frames have arrived on a connection."""
 
     connection: "Connection"
     frames: list
@@ -36,18 +36,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """A connection is gone."""
+    """A connection has closed."""
 
     connection: "Connection"
 
 
 class Connection(asyncio.Protocol):
-    """A socket with frames on it; its messages go to `owner`.
+    """TCP connection that carries frames and reports its events to `owner`.
 
     Parameters
     ----------
     owner : Mailbox
-        Gets `Opened`, `Received` and `Closed`.
+        Receives `Opened`, `Received` and `Closed`.
     """
 
     def __init__(self, owner: Mailbox):
@@ -61,12 +61,12 @@
         self.frames_out = 0
 
     def connection_made(self, transport):
-        """Take the socket (called by asyncio)."""
+        """Store the transport (called by asyncio)."""
         self._transport = transport
         self._owner.put(Opened(self))
 
     def data_received(self, data):
-        """Hand over the frames that are whole (called by asyncio)."""
+        """Deliver complete frames (called by asyncio)."""
         self.bytes_in += len(data)
         try:
             frames = self._reader.feed(data)
@@ -78,24 +78,24 @@
             self._owner.put(Received(self, frames))
 
     def connection_lost(self, exc):
-        """Tell the owner (called by asyncio)."""
+        """Notify the owner (called by asyncio)."""
         self._owner.put(Closed(self))
 
     @property
     def is_open(self) -> bool:
-        """Whether the socket still takes frames."""
+        """Whether frames can be sent."""
         return self._transport is not None and not (
             self._transport.is_closing()
         )
 
     def send(self, frame) -> bool:
-        """Hand `frame` to the socket.
+        """Queue `frame` for sending.
 
         Returns
         -------
         bool
-            False if nothing was sent since the connection is closed.
-            True says only that the bytes were handed over.
+            False if the connection is closed. True does not mean that the
+            peer receives the frame.
         """
         if not self.is_open:
             return False
@@ -117,24 +117,24 @@
             self.abort()
 
     def close(self) -> None:
-        """Send what is waiting, then close."""
+        """Send queued frames, then close."""
         if self._transport is not None:
             self._flush()
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once, dropping what is waiting."""
+        """Close at once and drop queued frames."""
         if self._transport is not None:
             self._transport.abort()
 
 
 async def dial(host, port, owner, timeout_ms, tls=None) -> Connection:
-    """Connect to a peer that listens.
+    """Connect to a listening peer.
 
     Raises
     ------
     LinkError
-        No connection could be made in time.
+        No connection was made within `timeout_ms`.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -143,12 +143,14 @@
                 lambda: Connection(owner), host, port, ssl=tls
             )
     except (OSError, TimeoutError) as error:
-        raise LinkError(f"{host}:{port}: {error!r}") from error
+        raise LinkError(
+            f"cannot connect to {host}:{port}: {error!r}"
+        ) from error
     return connection
 
 
 async def listen(host, port, owner, tls=None) -> asyncio.Server:
-    """Listen for peers; port 0 takes a free one."""
+    """Listen for peers; port 0 binds a free one."""
     loop = asyncio.get_running_loop()
     return await loop.create_server(
         lambda: Connection(owner), host, port, ssl=tls
