--- a/dahliashunt/jobs/beats.py
+++ b/dahliashunt/jobs/beats.py
@@ -139,7 +139,7 @@
                 "beats//", "beats//~", MAX_ROWS
             )
         except PlatformUnavailable as error:
-            self._log.warning("beats_unread", reason=str(error))
+            self._log.warning("heartbeat_read_failed", reason=str(error))
             self._restart_timeouts = True
             return
         now_ms = self._clock.now_ms()
--- a/dahliashunt/jobs/job_run.py
+++ b/dahliashunt/jobs/job_run.py
@@ -194,7 +194,7 @@
         try:
             await worker.ledger.list_results(self.job, batch)
         except OwnershipLost:
-            worker.log.warning("job_lost", job_id=self.job.job_id)
+            worker.log.warning("job_ownership_lost", job_id=self.job.job_id)
             worker.release_job(self.job.job_id)
             return
         except PlatformUnavailable as error:
