--- a/dahliashunt/platform/__main__.py
+++ b/dahliashunt/platform/__main__.py
@@ -33,8 +33,8 @@
 
 from dahliashunt.errors import SettingsError
 from dahliashunt.logs import set_up_logs
-from dahliashunt.platform.boot import load_boot
-from dahliashunt.platform.boot import Source
+from dahliashunt.platform.settings import LaunchOptions
+from dahliashunt.platform.settings import load_settings
 from dahliashunt.process import ExitCode
 from dahliashunt.process import run_served
 from dahliashunt.recent_lines import RecentLines
@@ -53,13 +53,13 @@
     arguments = docopt(__doc__, argv)
     path = os.environ.get(SETTINGS_VARIABLE, "")
     try:
-        boot = load_boot(path)
+        settings = load_settings(path)
     except SettingsError as error:
         print(error, file=sys.stderr)
         return ExitCode.SETTINGS
-    caps = arguments["--caps"]
-    if caps not in CAP_POLICIES:
-        print(f"--caps: {caps} is no policy", file=sys.stderr)
+    policy = arguments["--caps"]
+    if policy not in CAP_POLICIES:
+        print(f"--caps: {policy} is no policy", file=sys.stderr)
         return ExitCode.SETTINGS
     if arguments["--check-settings"]:
         print(f"{path}: ok")
@@ -71,11 +71,11 @@
     role = "entry" if arguments["entry"] else "agent"
     recent = RecentLines()
     log = set_up_logs(
-        f"dahliashunt-{role}", boot.node_id, to_stdout=True, recent=recent
+        f"dahliashunt-{role}", settings.node_id, to_stdout=True, recent=recent
     )
-    source = Source(path, boot, int(port), recent, caps)
+    options = LaunchOptions(path, settings, int(port), recent, policy)
     try:
-        return asyncio.run(run_served(source, _serve(role), log))
+        return asyncio.run(run_served(options, _serve(role), log))
     except OSError as error:
         log.error("failed", reason=str(error))
         return ExitCode.FAILED
--- a/dahliashunt/platform/dialect.py
+++ b/dahliashunt/platform/dialect.py
@@ -19,7 +19,12 @@
 __all__ = ["PlatformDialect", "ReplicaReport", "decode_report"]
 
 REPORT_PATH = "/api/report"
-_SET_HERE = HOP_BY_HOP | {BUDGET, EXPECTED_REPLICA, LAST_EVENT, WORKSPACE}
+_REPLACED_HEADERS = HOP_BY_HOP | {
+    BUDGET,
+    EXPECTED_REPLICA,
+    LAST_EVENT,
+    WORKSPACE,
+}
 
 
 class PlatformDialect:
@@ -32,7 +37,7 @@
         headers = [
             (name, value)
             for name, value in call.headers
-            if name.lower() not in _SET_HERE
+            if name.lower() not in _REPLACED_HEADERS
         ]
         headers.append((BUDGET, str(max(1, left_ms))))
         headers.append((EXPECTED_REPLICA, replica.replica_id))
--- a/dahliashunt/platform/health.py
+++ b/dahliashunt/platform/health.py
@@ -1,7 +1,7 @@
 """Readiness over HTTP."""
 
 from dahliashunt.forwarding.node import Node
-from dahliashunt.platform.short_answer import send_short
+from dahliashunt.platform.plain_text import send_text
 
 __all__ = ["Health"]
 
@@ -17,4 +17,4 @@
 
     async def __call__(self, scope, receive, send) -> None:
         """Answer one question."""
-        await send_short(send, 200 if self._node.ready else 503, b"")
+        await send_text(send, 200 if self._node.ready else 503, b"")
--- a/dahliashunt/platform/ingress.py
+++ b/dahliashunt/platform/ingress.py
@@ -39,11 +39,11 @@
 """Retry-After where nothing better is known: a quarter of the shortest
 time in which a node regains its configuration or its store."""
 
-UNKNOWN_STATUS = 502
+UNKNOWN_OUTCOME_STATUS = 502
 """Instead of such a status where a request may have run."""
 
 
-class CallerLeft(Exception):
+class CallerDisconnected(Exception):
     """The caller closed its connection."""
 
 
@@ -63,7 +63,7 @@
         while True:
             message = await self.receive()
             if message["type"] == "http.disconnect":
-                raise CallerLeft
+                raise CallerDisconnected
             parts.append(message.get("body", b""))
             size += len(parts[-1])
             if size > limits.body_bytes:
@@ -74,7 +74,7 @@
             if not message.get("more_body"):
                 return b"".join(parts)
 
-    async def left(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Return once the caller has closed its connection."""
         while (await self.receive())["type"] != "http.disconnect":
             pass
@@ -145,8 +145,8 @@
             try:
                 await self._serve(exchange)
             except RequestError as error:
-                await self._refuse(exchange, error)
-            except CallerLeft:
+                await self._send_error(exchange, error)
+            except CallerDisconnected:
                 self._node.metrics.count("callers_left")
 
     async def _serve(self, exchange):
@@ -156,16 +156,16 @@
         limits = catalog.limits if catalog else IngressLimits()
         body = await exchange.body(limits)
         work = asyncio.create_task(self._answer(exchange, body, arrived_ms))
-        left = asyncio.create_task(exchange.left())
+        disconnected = asyncio.create_task(exchange.wait_for_disconnect())
         try:
             await asyncio.wait(
-                {work, left}, return_when=asyncio.FIRST_COMPLETED
+                {work, disconnected}, return_when=asyncio.FIRST_COMPLETED
             )
             if not work.done():
-                raise CallerLeft
+                raise CallerDisconnected
             work.result()
         finally:
-            for task in (work, left):
+            for task in (work, disconnected):
                 task.cancel()
             with contextlib.suppress(asyncio.CancelledError, RequestError):
                 await work
@@ -175,11 +175,11 @@
         method = exchange.scope["method"]
         query = exchange.scope["query_string"].decode("latin-1")
         headers = exchange.header_by_name
-        about_job = self._jobs.parse(method, path, query, headers)
-        key = _key(headers)
-        if about_job is not None:
+        job_call = self._jobs.parse(method, path, query, headers)
+        key = _bearer_key(headers)
+        if job_call is not None:
             caller = self._node.caller(key)
-            await self._jobs.answer(about_job, caller, exchange)
+            await self._jobs.answer(job_call, caller, exchange)
             return
         route = self._node.route(headers.get("host", ""), path)
         workspace = self._node.caller_for_route(route, key)
@@ -189,25 +189,23 @@
             await self._jobs.submit(route, workspace, headers, body, exchange)
             return
         target = f"{path}?{query}" if query else path
-        call = _call(exchange, target, body, arrived_ms)
+        call = _decode_call(exchange, target, body, arrived_ms)
         if self._node.requires_keys:
-            call = _in_name_of(workspace, call)
+            call = _authenticated_call(workspace, call)
         try:
             await self._node.forward(call, route, _Sink(exchange), workspace)
-        except ResponseTruncated as cut:
+        except ResponseTruncated as error:
             # Returning with the answer unfinished makes the server close
             # the connection without its end mark.
             self._node.log.warning(
-                "response_truncated",
-                request_id=call.request_id,
-                reason=cut.message,
+                "answer_cut", request_id=call.request_id, reason=error.message
             )
 
-    async def _refuse(self, exchange, error):
+    async def _send_error(self, exchange, error):
         answer = ANSWERS[error.kind]
         status = answer.status
         if error.ran is not Ran.NO and status in NOT_RUN_STATUSES:
-            status = UNKNOWN_STATUS
+            status = UNKNOWN_OUTCOME_STATUS
         headers = [("content-type", "text/plain; charset=utf-8")]
         request_id = exchange.header_by_name.get(REQUEST_ID)
         if request_id:
@@ -229,7 +227,7 @@
         await exchange.whole(status, headers, error.message.encode())
 
 
-def _key(headers):
+def _bearer_key(headers):
     """Return the caller's key, or None if it sent none of ours."""
     scheme, _, key = headers.get(AUTHORIZATION, "").partition(" ")
     if scheme.lower() != KEY_SCHEME.lower():
@@ -237,7 +235,7 @@
     return key.strip()
 
 
-def _in_name_of(workspace, call):
+def _authenticated_call(workspace, call):
     """Return `call` for its workspace, without the caller's key."""
     return replace(
         call,
@@ -249,7 +247,7 @@
     )
 
 
-def _call(exchange, target, body, arrived_ms):
+def _decode_call(exchange, target, body, arrived_ms):
     headers = exchange.header_by_name
     budget = headers.get(BUDGET, "")
     last_event = headers.get(LAST_EVENT, "")
--- a/dahliashunt/platform/inspect_page.py
+++ b/dahliashunt/platform/inspect_page.py
@@ -5,24 +5,24 @@
 
 from dahliashunt.forwarding.explain import Explainer
 from dahliashunt.forwarding.explain_workspaces import WorkspaceExplainer
-from dahliashunt.platform.short_answer import send_short
+from dahliashunt.platform.plain_text import send_text
 from dahliashunt.recent_lines import RecentLines
 
 __all__ = ["InspectPage"]
 
-LONGEST_ID = 200
+MAX_ID_LENGTH = 200
 """Characters of an id that is looked for."""
 
 
 class InspectPage:
-    """ASGI application; what it does not know goes to `otherwise`.
+    """ASGI application; what it does not know goes to `fallback`.
 
     Parameters
     ----------
     explainer : Explainer or None
         None at a program that has no routes.
     recent : RecentLines
-    otherwise : ASGI application
+    fallback : ASGI application
     workspaces : WorkspaceExplainer, optional
     """
 
@@ -30,21 +30,21 @@
         self,
         explainer: Explainer | None,
         recent: RecentLines,
-        otherwise,
+        fallback,
         workspaces: WorkspaceExplainer | None = None,
     ):
         self._explainer = explainer
         self._recent = recent
-        self._otherwise = otherwise
-        self._answer_by_path = {"/lines": self._lines}
+        self._fallback = fallback
+        self._handler_by_path = {"/lines": self._lines}
         if explainer is not None:
-            self._answer_by_path |= {
+            self._handler_by_path |= {
                 "/routes/explain": self._explain,
                 "/routes": self._routes,
                 "/routes/changes": lambda fields: explainer.changes(),
             }
         if workspaces is not None:
-            self._answer_by_path |= {
+            self._handler_by_path |= {
                 "/workspaces": lambda fields: workspaces.workspaces(),
                 "/workspaces/explain": lambda fields: workspaces.explain(
                     fields["name"]
@@ -53,18 +53,18 @@
 
     async def __call__(self, scope, receive, send) -> None:
         """Answer one question as JSON."""
-        answer = self._answer_by_path.get(scope["path"])
-        if answer is None:
-            await self._otherwise(scope, receive, send)
+        handler = self._handler_by_path.get(scope["path"])
+        if handler is None:
+            await self._fallback(scope, receive, send)
             return
         query = parse_qs(scope["query_string"].decode("latin-1"))
         fields = {name: values[0] for name, values in query.items()}
         try:
-            found = answer(fields)
+            result = handler(fields)
         except (KeyError, ValueError) as error:
-            await send_short(send, 400, f"bad question: {error!r}".encode())
+            await send_text(send, 400, f"bad question: {error!r}".encode())
             return
-        await send_short(send, 200, json.dumps(found).encode())
+        await send_text(send, 200, json.dumps(result).encode())
 
     def _explain(self, fields):
         return self._explainer.explain(fields["host"], fields["path"])
@@ -74,7 +74,7 @@
 
     def _lines(self, fields):
         wanted = fields["id"]
-        if not wanted or len(wanted) > LONGEST_ID:
+        if not wanted or len(wanted) > MAX_ID_LENGTH:
             raise ValueError("id")
         found = self._recent.find(json.dumps(wanted)[1:-1])
         return {
--- a/dahliashunt/platform/listeners.py
+++ b/dahliashunt/platform/listeners.py
@@ -4,17 +4,22 @@
 from dahliashunt.forwarding.replicas import ReplicaRegistry
 from dahliashunt.platform.operator import decode_catalog
 from dahliashunt.platform.operator import decode_replica
-from dahliashunt.platform.operator import Undecodable
+from dahliashunt.platform.operator import DecodeError
 from dahliashunt.ports import Clock
 from dahliashunt.ports.table import Row
 
-__all__ = ["CONFIG_KEY", "REPLICAS_PREFIX", "ConfigRows", "ReplicaRows"]
+__all__ = [
+    "CONFIG_KEY",
+    "REPLICAS_PREFIX",
+    "ConfigListener",
+    "ReplicaListener",
+]
 
 CONFIG_KEY = "op//config"
 REPLICAS_PREFIX = "servers//"
 
 
-class ConfigRows:
+class ConfigListener:
     """Adopts configurations."""
 
     def __init__(self, node: Node, log):
@@ -32,7 +37,7 @@
             return
         try:
             catalog = decode_catalog(row.value)
-        except Undecodable as error:
+        except DecodeError as error:
             # What is in force stays: a broken row changes nothing.
             self._log.error("configuration_unreadable", reason=str(error))
             return
@@ -45,7 +50,7 @@
         """Nothing to do: the next read brings what changed."""
 
 
-class ReplicaRows:
+class ReplicaListener:
     """Keeps the book of replicas."""
 
     def __init__(self, registry: ReplicaRegistry, clock: Clock, log):
@@ -55,26 +60,26 @@
 
     def replaced(self, rows) -> None:
         """Take over the whole list."""
-        found = [(self._decoded(row), row.version) for row in rows]
-        replicas = [pair for pair in found if pair[0] is not None]
+        decoded = [(self._decode(row), row.version) for row in rows]
+        replicas = [pair for pair in decoded if pair[0] is not None]
         self._registry.replace_all(replicas, self._clock.now_ms())
         self._log.info("replicas_read", listed=len(rows), usable=len(replicas))
 
     def changed(self, row: Row) -> None:
         """Take over one entry."""
-        replica = self._decoded(row)
+        replica = self._decode(row)
         if replica is None:
             self.removed(row.key)
             return
-        held = self._registry.get(replica.replica_id)
-        if held != replica:
+        known = self._registry.get(replica.replica_id)
+        if known != replica:
             self._log.info(
                 "replica_changed",
                 replica=replica.replica_id,
                 service=replica.service,
                 leaving=replica.leaving,
                 born_ms=replica.born_ms,
-                new=held is None,
+                new=known is None,
             )
         self._registry.put(replica, row.version, self._clock.now_ms())
 
@@ -88,10 +93,10 @@
         """Entries that lapsed meanwhile are kept for a while."""
         self._registry.outage_ended(self._clock.now_ms())
 
-    def _decoded(self, row):
+    def _decode(self, row):
         replica_id = row.key.removeprefix(REPLICAS_PREFIX)
         try:
             return decode_replica(replica_id, row.value)
-        except Undecodable as error:
+        except DecodeError as error:
             self._log.warning("replica_unreadable", reason=str(error))
             return None
--- a/dahliashunt/platform/metrics_page.py
+++ b/dahliashunt/platform/metrics_page.py
@@ -5,7 +5,7 @@
 from dahliashunt.forwarding.explain_workspaces import WorkspaceExplainer
 from dahliashunt.metrics import Metrics
 from dahliashunt.platform.inspect_page import InspectPage
-from dahliashunt.platform.short_answer import send_short
+from dahliashunt.platform.plain_text import send_text
 from dahliashunt.recent_lines import RecentLines
 
 __all__ = ["MetricsPage", "serve_metrics"]
@@ -22,9 +22,9 @@
     async def __call__(self, scope, receive, send) -> None:
         """Answer one question."""
         if scope["path"] == METRICS_PATH:
-            await send_short(send, 200, self._metrics.text().encode())
+            await send_text(send, 200, self._metrics.text().encode())
         else:
-            await send_short(send, 404, b"")
+            await send_text(send, 404, b"")
 
 
 async def serve_metrics(
@@ -51,8 +51,8 @@
     """
     if not port:
         return None
-    otherwise = MetricsPage(metrics)
-    page = InspectPage(explainer, recent, otherwise, workspaces)
+    fallback = MetricsPage(metrics)
+    page = InspectPage(explainer, recent, fallback, workspaces)
     server = HttpServer(page, host, port, lifespan=False)
     await server.start()
     return server
--- a/dahliashunt/platform/operator.py
+++ b/dahliashunt/platform/operator.py
@@ -19,9 +19,9 @@
 from dahliashunt.ids import WorkspaceId
 from dahliashunt.key_digest import key_digest
 
-__all__ = ["Undecodable", "decode_catalog", "decode_replica"]
+__all__ = ["DecodeError", "decode_catalog", "decode_replica"]
 
-_KINDS = {
+_ROUTE_KIND_BY_NAME = {
     "stream": RouteKind.STREAM,
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.AT_MOST_ONCE,
@@ -29,7 +29,7 @@
 }
 
 
-class Undecodable(ValueError):
+class DecodeError(ValueError):
     """A row does not hold what is expected there."""
 
 
@@ -38,7 +38,7 @@
 
     Raises
     ------
-    Undecodable
+    DecodeError
         The text is not a configuration; names what is wrong.
     """
     try:
@@ -54,16 +54,16 @@
             workspaces=_workspaces(fields.get("tenants")),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise Undecodable(f"configuration: {error!r}") from None
+        raise DecodeError(f"configuration: {error!r}") from None
 
 
 def _limits(fields):
-    usual = IngressLimits()
+    default = IngressLimits()
     return IngressLimits(
-        header_bytes=fields.get("max-header-bytes", usual.header_bytes),
-        body_bytes=fields.get("max-body-bytes", usual.body_bytes),
-        header_ms=fields.get("header-timeout-ms", usual.header_ms),
-        idle_ms=fields.get("idle-timeout-ms", usual.idle_ms),
+        header_bytes=fields.get("max-header-bytes", default.header_bytes),
+        body_bytes=fields.get("max-body-bytes", default.body_bytes),
+        header_ms=fields.get("header-timeout-ms", default.header_ms),
+        idle_ms=fields.get("idle-timeout-ms", default.idle_ms),
     )
 
 
@@ -91,7 +91,7 @@
         host=_text(fields["host"]),
         prefix=_text(fields["prefix"]),
         # A kind that is not known here must not run twice.
-        kind=_KINDS.get(fields["kind"], RouteKind.AT_MOST_ONCE),
+        kind=_ROUTE_KIND_BY_NAME.get(fields["kind"], RouteKind.AT_MOST_ONCE),
         weight_by_service=weights,
         timeout_ms=int(fields["timeout-ms"]),
         # Time to an answer, or to a stream's first event.
@@ -183,7 +183,7 @@
 
     Raises
     ------
-    Undecodable
+    DecodeError
         The entry names no replica to use: it may come from another
         writer, with fields missing or of other types.
     """
@@ -197,7 +197,7 @@
         # How much longer the replica is slow after its start.
         warm_in_ms = fields.get("cold-left-ms", 0)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise Undecodable(f"replica {replica_id}: {error!r}") from None
+        raise DecodeError(f"replica {replica_id}: {error!r}") from None
     numbers = (slots, born_ms, warm_in_ms)
     if (
         state not in ("ready", "draining")
@@ -207,7 +207,7 @@
         or any(type(number) not in (int, float) for number in numbers)
         or slots < 1
     ):
-        raise Undecodable(f"replica {replica_id}: a field has a wrong value")
+        raise DecodeError(f"replica {replica_id}: a field has a wrong value")
     return Replica(
         replica_id=replica_id,
         born_ms=int(born_ms),
--- a/dahliashunt/platform/short_answer.py
+++ b/dahliashunt/platform/plain_text.py
@@ -1,9 +1,9 @@
 """Answer a question of the platform with a few lines of text."""
 
-__all__ = ["send_short"]
+__all__ = ["send_text"]
 
 
-async def send_short(send, status: int, body: bytes) -> None:
+async def send_text(send, status: int, body: bytes) -> None:
     """Send a whole answer as plain text.
 
     Parameters
--- a/dahliashunt/platform/reload.py
+++ b/dahliashunt/platform/reload.py
@@ -9,13 +9,13 @@
 import signal
 
 from dahliashunt.errors import SettingsError
-from dahliashunt.platform.boot import Boot
-from dahliashunt.platform.boot import load_boot
+from dahliashunt.platform.settings import load_settings
+from dahliashunt.platform.settings import PlatformSettings
 from dahliashunt.ports import Clock
 
 __all__ = ["SettingsWatch"]
 
-LOOK_MS = 500
+POLL_INTERVAL_MS = 500
 """Between looks at the file's time and size: a change that no signal
 announces is in force within a second."""
 
@@ -26,43 +26,45 @@
     Parameters
     ----------
     path : str
-    boot : Boot
+    settings : PlatformSettings
         The settings in force.
     apply : callable
-        Given the new `Boot`.
+        Given the new `PlatformSettings`.
     clock : Clock
     log : structlog logger
     """
 
-    def __init__(self, path: str, boot: Boot, apply, clock: Clock, log):
+    def __init__(
+        self, path: str, settings: PlatformSettings, apply, clock: Clock, log
+    ):
         self._path = path
-        self._boot = boot
+        self._settings = settings
         self._apply = apply
         self._clock = clock
         self._log = log
-        self._asked = asyncio.Event()
-        self._mark = self._file_mark()
+        self._reload_requested = asyncio.Event()
+        self._seen_state = self._file_state()
 
     def install(self) -> None:
         """Listen for SIGHUP on the running loop."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGHUP, self._asked.set)
+        loop.add_signal_handler(signal.SIGHUP, self._reload_requested.set)
 
     async def run(self) -> None:
         """Watch for ever."""
         while True:
             try:
-                async with asyncio.timeout(LOOK_MS / 1000):
-                    await self._asked.wait()
+                async with asyncio.timeout(POLL_INTERVAL_MS / 1000):
+                    await self._reload_requested.wait()
             except TimeoutError:
                 pass
-            mark = self._file_mark()
-            if self._asked.is_set() or mark != self._mark:
-                self._asked.clear()
-                self._mark = mark
-                self.read_again()
+            state = self._file_state()
+            if self._reload_requested.is_set() or state != self._seen_state:
+                self._reload_requested.clear()
+                self._seen_state = state
+                self.reload_settings()
 
-    def _file_mark(self):
+    def _file_state(self):
         try:
             status = os.stat(self._path)
         except OSError as error:
@@ -70,18 +72,18 @@
             return None
         return (status.st_mtime_ns, status.st_size, status.st_ino)
 
-    def read_again(self) -> None:
+    def reload_settings(self) -> None:
         """Take over the file's settings, or keep those in force."""
         try:
-            boot = load_boot(self._path)
+            settings = load_settings(self._path)
         except SettingsError as error:
             self._log.error("settings_refused", reason=str(error))
             return
         changed = [
             name
-            for name in Boot.__slots__
-            if getattr(boot, name) != getattr(self._boot, name)
+            for name in PlatformSettings.__slots__
+            if getattr(settings, name) != getattr(self._settings, name)
         ]
-        self._boot = boot
+        self._settings = settings
         self._log.info("settings_read", changed=changed)
-        self._apply(boot)
+        self._apply(settings)
--- a/dahliashunt/platform/serve_entry.py
+++ b/dahliashunt/platform/serve_entry.py
@@ -28,18 +28,18 @@
 from dahliashunt.jobs.keys import JOBS_PREFIX
 from dahliashunt.jobs.keys import PROGRESS_PREFIXES
 from dahliashunt.metrics import Metrics
-from dahliashunt.platform.boot import Source
 from dahliashunt.platform.dialect import PlatformDialect
 from dahliashunt.platform.health import Health
 from dahliashunt.platform.ingress import Ingress
 from dahliashunt.platform.job_calls import JobCalls
 from dahliashunt.platform.job_parts import JobParts
 from dahliashunt.platform.listeners import CONFIG_KEY
-from dahliashunt.platform.listeners import ConfigRows
-from dahliashunt.platform.listeners import ReplicaRows
+from dahliashunt.platform.listeners import ConfigListener
+from dahliashunt.platform.listeners import ReplicaListener
 from dahliashunt.platform.listeners import REPLICAS_PREFIX
 from dahliashunt.platform.metrics_page import serve_metrics
 from dahliashunt.platform.reload import SettingsWatch
+from dahliashunt.platform.settings import LaunchOptions
 from dahliashunt.platform.store import PlatformStore
 
 __all__ = ["Entry", "serve_entry"]
@@ -50,49 +50,51 @@
 SWEEP_MS = 1_000
 """Between looks at idle connections and lapsed replicas."""
 
-SLACK_SHARE = 0.25
+BURST_SLACK_SHARE = 0.25
 """Of the slack above a limit, what is given to a workspace's burst. The rest
 is for what entries let in while they do not know of each other."""
 
-LEAVE_MARGIN_MS = 700
+SHUTDOWN_MARGIN_MS = 700
 """Before the platform kills a leaving process: time to close in order."""
 
-NEEDED_WITHIN_S = 1.0
+FIRST_READ_TIMEOUT_S = 1.0
 """Jobs are followed at the latest so long after the start, also while the
 store does not answer for the configuration: a table may be read where
 another one is not."""
 
-NEW_CONNECTIONS_MS = 3_000
+DEREGISTRATION_DELAY_MS = 3_000
 """After SIGTERM new connections still come for so long: the platform asks
 for readiness every second and turns away after two misses."""
 
 
-async def serve_entry(source: Source, signals, log) -> None:
+async def serve_entry(options: LaunchOptions, signals, log) -> None:
     """Run an entry until it was told to leave and nothing is in progress.
 
     Parameters
     ----------
-    source : Source
+    options : LaunchOptions
     signals : Signals
     log : structlog logger
     """
-    boot = source.boot
-    entry = Entry(boot, log, source.caps)
-    watch = SettingsWatch(source.path, boot, entry.apply, SystemClock(), log)
+    settings = options.settings
+    entry = Entry(settings, log, options.rate_limit_policy)
+    watch = SettingsWatch(
+        options.path, settings, entry.apply, SystemClock(), log
+    )
     watch.install()
     await entry.start()
     page = await serve_metrics(
         entry.node.metrics,
-        boot.ip,
-        source.metrics_port,
-        source.recent,
+        settings.ip,
+        options.metrics_port,
+        options.recent,
         entry.explainer,
         entry.workspaces,
     )
     loops = [*entry.loops(), watch.run()]
     tasks = [asyncio.create_task(each) for each in loops]
     try:
-        await _first_of(signals.leave, tasks)
+        await _wait_for_event(signals.leave, tasks)
         await entry.leave()
     finally:
         for task in tasks:
@@ -102,7 +104,7 @@
             await page.stop_now()
 
 
-async def _first_of(event, tasks):
+async def _wait_for_event(event, tasks):
     """Wait for `event`; a loop that ends is an error of this program."""
     waited = asyncio.create_task(event.wait())
     done, _ = await asyncio.wait(
@@ -131,25 +133,25 @@
         Where callers and questions for readiness go, once started.
     """
 
-    def __init__(self, boot, log, caps="metered"):
-        self._boot = boot
+    def __init__(self, settings, log, rate_limit_policy="metered"):
+        self._settings = settings
         self._log = log
         self._clock = SystemClock()
         self._rng = random.Random()
         self._registry = ReplicaRegistry()
-        metrics = Metrics(boot.node_id)
+        metrics = Metrics(settings.node_id)
         self.node = Node(self._clock, self._rng, metrics, log, self._registry)
         self._pool = ConnectionPool(self._clock)
         self._store_pool = ConnectionPool(self._clock)
         self._store = PlatformStore(
-            boot.store.address, self._store_pool, self._clock, metrics
+            settings.store.address, self._store_pool, self._clock, metrics
         )
         self._slots = SlotClient(self._clock)
         self._suspicion = Suspicion()
         self._losses = SharedLosses(self._store, self._clock, log)
-        self._known = self._make_known()
-        self._places = ReplicaSelector(
-            self._known,
+        self._known_replicas = self._make_known_replicas()
+        self._selector = ReplicaSelector(
+            self._known_replicas,
             self._slots,
             self._suspicion,
             self._clock,
@@ -159,37 +161,39 @@
         self.jobs = JobParts(
             self.node,
             self._store,
-            self._places,
+            self._selector,
             self._pool,
-            boot.bounds.result_ms,
+            settings.bounds.result_retention_ms,
+        )
+        self.node.caps = self._make_rate_limiter(rate_limit_policy)
+        self.explainer = Explainer(
+            self.node, self._selector, self._known_replicas
         )
-        self.node.caps = self._make_caps(caps)
-        self.explainer = Explainer(self.node, self._places, self._known)
         self.workspaces = WorkspaceExplainer(self.node, self.jobs.view)
         self._followers = self._make_followers()
         config = self._followers[0]
         self.node.config_read_ms = lambda: config.heard_ms
         self._servers = []
         self.bounds = HttpBounds()
-        self.first_port = boot.first_port
+        self.first_port = settings.first_port
         self.ports: tuple[int, ...] = ()
 
-    def _make_known(self):
+    def _make_known_replicas(self):
         return KnownReplicas(
             self._registry,
-            Partners(self._registry, self._boot.node_id),
+            Partners(self._registry, self._settings.node_id),
             self._slots,
             self._suspicion,
             self._clock,
             self._rng,
-            self._boot.data_centre,
-            self._boot.first_port,
+            self._settings.data_centre,
+            self._settings.first_port,
             self._pool.has_idle,
         )
 
     def _make_forwarder(self):
         return Forwarder(
-            self._places,
+            self._selector,
             self._pool,
             PlatformDialect(),
             self._suspicion,
@@ -199,7 +203,7 @@
             self._log,
         )
 
-    def _make_caps(self, name):
+    def _make_rate_limiter(self, name):
         choice = MeterSelector(self._registry, self.node.has_agents)
         policy = RATE_LIMIT_POLICIES.get(name)(
             lambda: self.jobs.owners, choice.hosts_for, self._rng
@@ -207,8 +211,8 @@
         return RateLimiter(
             policy,
             self._slots,
-            self._boot.first_port,
-            self._boot.bounds.limit_slack * SLACK_SHARE,
+            self._settings.first_port,
+            self._settings.bounds.limit_slack * BURST_SLACK_SHARE,
             self._clock,
             self.node.metrics,
             self._log,
@@ -216,8 +220,8 @@
 
     def _make_followers(self):
         """Return the tables' followers; the configuration's is the first."""
-        configs = ConfigRows(self.node, self._log)
-        replicas = ReplicaRows(self._registry, self._clock, self._log)
+        configs = ConfigListener(self.node, self._log)
+        replicas = ReplicaListener(self._registry, self._clock, self._log)
         view = self.jobs.view
         return [
             self._follower((CONFIG_KEY,), FeedUse.CONFIGURATION, configs),
@@ -240,33 +244,33 @@
 
     async def start(self):
         """Listen."""
-        boot = self._boot
-        await self._slots.start(boot.ip, boot.last_port)
+        settings = self._settings
+        await self._slots.start(settings.ip, settings.last_port)
         jobs = JobCalls(self.node, self.jobs, self._followers[2:4])
         self._servers = [
             HttpServer(
                 Ingress(self.node, jobs),
-                *boot.callers,
+                *settings.callers,
                 lifespan=False,
                 bounds=self.bounds,
             ),
-            HttpServer(Health(self.node), *boot.readiness, lifespan=False),
+            HttpServer(Health(self.node), *settings.readiness, lifespan=False),
         ]
         for server in self._servers:
             await server.start()
         self.ports = tuple(server.port for server in self._servers)
-        self._log.info("started", data_centre=boot.data_centre)
+        self._log.info("started", data_centre=settings.data_centre)
 
-    def apply(self, boot):
+    def apply(self, settings):
         """Take over new settings; where it listens stays as it is."""
-        self._boot = boot
-        self._store.address = boot.store.address
+        self._settings = settings
+        self._store.address = settings.store.address
 
     def loops(self):
         """Return the coroutines that run for ever."""
         return [
             self._follow(),
-            self._places.refresh_states(RENEW_MS),
+            self._selector.refresh_states(RENEW_MS),
             self._losses.run(),
             self.node.caps.run(),
             self._sweep(),
@@ -285,7 +289,7 @@
             for follower in needed:
                 group.create_task(follower.run())
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(NEEDED_WITHIN_S):
+                async with asyncio.timeout(FIRST_READ_TIMEOUT_S):
                     for follower in needed:
                         await follower.known.wait()
             for work in (*(each.run() for each in others), *self.jobs.loops()):
@@ -296,9 +300,9 @@
             await self._clock.sleep_ms(SWEEP_MS)
             self._pool.sweep()
             self._registry.expire(self._clock.now_ms())
-            self._take_limits()
+            self._apply_connection_limits()
 
-    def _take_limits(self):
+    def _apply_connection_limits(self):
         """Bound callers' connections as the configuration says.
 
         Idle ones are kept a second longer: callers count from their side.
@@ -313,15 +317,19 @@
         """Turn away new connections, then let requests in progress end."""
         self.node.leaving.set()
         now_ms = self._clock.now_ms()
-        until_ms = now_ms + self._boot.bounds.leave_ms - LEAVE_MARGIN_MS
+        until_ms = (
+            now_ms
+            + self._settings.bounds.termination_grace_ms
+            - SHUTDOWN_MARGIN_MS
+        )
         self._log.info("leaving", in_progress=self.node.busy)
-        quiet_ms = min(now_ms + NEW_CONNECTIONS_MS, until_ms)
+        accept_until_ms = min(now_ms + DEREGISTRATION_DELAY_MS, until_ms)
         hand_over = asyncio.create_task(self.jobs.hand_over(until_ms))
-        await self._clock.sleep_ms(quiet_ms - now_ms)
-        await self.finish(until_ms)
+        await self._clock.sleep_ms(accept_until_ms - now_ms)
+        await self.drain(until_ms)
         await hand_over
 
-    async def finish(self, until_ms):
+    async def drain(self, until_ms):
         """Close the ports and end what is in progress, up to `until_ms`.
 
         The failure it guards against: a request that arrives between the
--- a/dahliashunt/platform/boot.py
+++ b/dahliashunt/platform/settings.py
@@ -10,41 +10,48 @@
 from dahliashunt.ids import NodeId
 from dahliashunt.recent_lines import RecentLines
 
-__all__ = ["Address", "Boot", "Bounds", "Source", "StoreBoot", "load_boot"]
+__all__ = [
+    "Address",
+    "LaunchOptions",
+    "PlatformBounds",
+    "PlatformSettings",
+    "StoreSettings",
+    "load_settings",
+]
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class PlatformBounds:
     """Times that the platform promises or asks for, in milliseconds.
 
     Attributes
     ----------
-    leave_ms : int
+    termination_grace_ms : int
         From SIGTERM to SIGKILL.
     drain_ms : int
         A leaving replica goes on serving for so long.
-    config_ms : int
+    config_apply_ms : int
         Within it a configuration is in force.
     cancel_ms : int
         Within it a cancelled batch job's items no longer start.
-    result_ms : int
+    result_retention_ms : int
         How long results stay readable.
     limit_slack : float
         Requests by which a workspace may be above its limit in a window.
     """
 
-    leave_ms: int
+    termination_grace_ms: int
     drain_ms: int
-    config_ms: int
+    config_apply_ms: int
     cancel_ms: int
-    result_ms: int
+    result_retention_ms: int
     limit_slack: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class StoreBoot:
+class StoreSettings:
     """The store's address and limits.
 
     Attributes
@@ -60,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Boot:
+class PlatformSettings:
     """What a process is told at its start.
 
     Attributes
@@ -74,8 +81,8 @@
         For traffic between the system's own nodes.
     replica : Address or None
         Of an agent: the replica on its machine.
-    store : StoreBoot
-    bounds : Bounds
+    store : StoreSettings
+    bounds : PlatformBounds
     memory_mb : int
     cores : float
         Share of one core, times its speed.
@@ -89,35 +96,35 @@
     first_port: int
     last_port: int
     replica: Address | None
-    store: StoreBoot
-    bounds: Bounds
+    store: StoreSettings
+    bounds: PlatformBounds
     memory_mb: int
     cores: float
 
 
 @dataclass(frozen=True, slots=True)
-class Source:
+class LaunchOptions:
     """How a program was started.
 
     Attributes
     ----------
     path : str
         The settings file, to be read again.
-    boot : Boot
+    settings : PlatformSettings
         What it held.
     metrics_port : int
         Where metrics are served; 0 for nowhere.
-    caps : str
+    rate_limit_policy : str
         Policy by which workspaces are held to their limits.
     recent : RecentLines
         What it has logged of late.
     """
 
     path: str
-    boot: Boot
+    settings: PlatformSettings
     metrics_port: int = 0
     recent: RecentLines = field(default_factory=RecentLines)
-    caps: str = "metered"
+    rate_limit_policy: str = "metered"
 
 
 class _Reader:
@@ -128,8 +135,8 @@
         self._table = table
         self._prefix = prefix
 
-    def fail(self, key, why):
-        raise SettingsError(f"{self._path}: {self._prefix}{key}: {why}")
+    def fail(self, key, reason):
+        raise SettingsError(f"{self._path}: {self._prefix}{key}: {reason}")
 
     def table(self, key):
         value = self._table.get(key)
@@ -143,8 +150,8 @@
             self.fail(key, "a text is wanted")
         return value
 
-    def number(self, key, usual=None):
-        value = self._table.get(key, usual)
+    def number(self, key, default=None):
+        value = self._table.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
             self.fail(key, "a number is wanted")
         if value < 0:
@@ -174,7 +181,7 @@
         return value
 
 
-def load_boot(path: str) -> Boot:
+def load_settings(path: str) -> PlatformSettings:
     """Read the settings file at `path`.
 
     Keys that this package does not know are left alone: the platform adds
@@ -199,7 +206,7 @@
     listen = reader.table("listen")
     limits = reader.table("limits")
     first_port, last_port = reader.ports("port-range")
-    return Boot(
+    return PlatformSettings(
         node_id=NodeId(reader.text("node-name")),
         data_centre=DataCentreId(reader.text("zone")),
         ip=reader.text("ip"),
@@ -216,7 +223,7 @@
 
 
 def _store(reader):
-    return StoreBoot(
+    return StoreSettings(
         address=reader.address("address"),
         row_bytes=int(reader.number("row-bytes")),
         object_bytes=int(reader.number("blob-bytes")),
@@ -224,11 +231,11 @@
 
 
 def _bounds(reader):
-    return Bounds(
-        leave_ms=reader.milliseconds("grace-s", 1000),
+    return PlatformBounds(
+        termination_grace_ms=reader.milliseconds("grace-s", 1000),
         drain_ms=reader.milliseconds("drain-ms"),
-        config_ms=reader.milliseconds("config-apply-ms"),
+        config_apply_ms=reader.milliseconds("config-apply-ms"),
         cancel_ms=reader.milliseconds("cancel-ms"),
-        result_ms=reader.milliseconds("status-s", 1000),
-        limit_slack=reader.number("quota-slack", usual=0.0),
+        result_retention_ms=reader.milliseconds("status-s", 1000),
+        limit_slack=reader.number("quota-slack", default=0.0),
     )
--- a/dahliashunt/platform/tests/conftest.py
+++ b/dahliashunt/platform/tests/conftest.py
@@ -10,8 +10,8 @@
 from dahliashunt.adapters.http1 import End
 from dahliashunt.adapters.http1 import open_connection
 from dahliashunt.adapters.http1 import ResponseHead
-from dahliashunt.platform.boot import load_boot
 from dahliashunt.platform.serve_entry import Entry
+from dahliashunt.platform.settings import load_settings
 from dahliashunt.platform.standins import ReplicaStandin
 from dahliashunt.platform.standins import settings_fields
 from dahliashunt.platform.standins import StoreStandin
@@ -21,7 +21,7 @@
 from dahliashunt.platform.standins.settings import replica_fields
 from dahliashunt.platform.standins.settings import route_fields
 
-LIMIT_S = 20
+TIMEOUT_S = 20
 """Longest that a condition is waited for: far beyond any wait of the
 parts, so that only a fault reaches it."""
 
@@ -102,7 +102,7 @@
         changed = {"node-name": name, "port-range": [port - 1, port]}
         fields = settings_fields(self._store_address, **changed)
         path.write_text(json.dumps(fields))
-        entry = Entry(load_boot(str(path)), structlog.get_logger())
+        entry = Entry(load_settings(str(path)), structlog.get_logger())
         await entry.start()
         self._tasks[entry] = [
             asyncio.create_task(loop) for loop in entry.loops()
@@ -132,7 +132,7 @@
 
     async def until(self, condition):
         """Wait until `condition` holds."""
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not condition():  # noqa: ASYNC110
                 await asyncio.sleep(0.005)
 
@@ -154,17 +154,17 @@
         Port 0 is the callers', 1 the one for questions of readiness.
         """
         connection = await self.dial(entry, port)
-        asked = caller_request(method, target, body, **headers)
-        events = await exchange(connection, asked, LIMIT_S * 1000)
+        request = caller_request(method, target, body, **headers)
+        events = await exchange(connection, request, TIMEOUT_S * 1000)
         assert events is not None, "the answer never ended"
         return Answer(events)
 
 
 @pytest.fixture
 def platform(tmp_path):
-    """Return ``play(scenario, **open)``, which runs one in a loop."""
+    """Return ``run_scenario(scenario, **open)``, which runs one in a loop."""
 
-    def play(scenario, *routes, **how):
+    def run_scenario(scenario, *routes, **how):
         async def main():
             platform = Platform(tmp_path)
             routes_ = routes or (route_fields(),)
@@ -176,4 +176,4 @@
 
         return asyncio.run(main())
 
-    return play
+    return run_scenario
--- a/dahliashunt/platform/tests/test_inspect.py
+++ b/dahliashunt/platform/tests/test_inspect.py
@@ -26,7 +26,7 @@
 
 
 @contextlib.asynccontextmanager
-async def inspected(entry, recent=None):
+async def serve_inspection(entry, recent=None):
     """Serve an entry's page; yield its address."""
     recent = recent or RecentLines()
     metrics = MetricsPage(Metrics("x"))
@@ -40,7 +40,7 @@
 
 
 @pytest.fixture
-def asked(capsys):
+def run_command(capsys):
     """Return ``ask(*words)``, which runs a command beside the nodes."""
 
     async def ask(*words):
@@ -51,21 +51,21 @@
     return ask
 
 
-def test_a_route_is_explained_as_it_serves_now(platform, asked):
+def test_a_route_is_explained_as_it_serves_now(platform, run_command):
     # A restorer stands with glue setting on a request, and nobody can tell
     # from thousands of routes which one takes it and who is asked.
     async def scenario(p):
-        async with inspected(p.entries[0]) as node:
+        async with serve_inspection(p.entries[0]) as node:
             words = ("route", "explain", "--node", node)
-            code, out, _ = await asked(*words, "A.example", "/a/x")
+            code, out, _ = await run_command(*words, "A.example", "/a/x")
             assert code == Exit.OK
             assert "route ask: /a/ is the longest prefix" in out
             assert "service llm (weight 1): 1 replicas (1 in north)" in out
             assert "version 1, in force for" in out
-            code, out, _ = await asked(*words, "a.example", "/a/note/7")
+            code, out, _ = await run_command(*words, "a.example", "/a/note/7")
             assert "passed over: ask /a/, shorter" in out
             assert "refused: the service has no replica" in out
-            code, out, _ = await asked(
+            code, out, _ = await run_command(
                 *words, "a.example", "/a/x", "--output", "json"
             )
             found = json.loads(out[out.index("{\n") :])
@@ -85,11 +85,11 @@
     ],
 )
 def test_what_no_route_takes_is_said_with_the_reason(
-    platform, asked, host, path, why
+    platform, run_command, host, path, why
 ):
     async def scenario(p):
-        async with inspected(p.entries[0]) as node:
-            code, out, _ = await asked(
+        async with serve_inspection(p.entries[0]) as node:
+            code, out, _ = await run_command(
                 "route", "explain", host, path, "--node", node
             )
             assert code == Exit.NOT_FOUND
@@ -98,7 +98,7 @@
     platform(scenario, *ROUTES)
 
 
-def test_nodes_with_two_versions_are_told_apart(platform, asked):
+def test_nodes_with_two_versions_are_told_apart(platform, run_command):
     # A change is on its way: one node has it, the other lost the store.
     async def scenario(p):
         one, other = p.entries[0], await p.add_entry()
@@ -107,15 +107,18 @@
         await p.until(lambda: not other.node.ready)
         p.store.configure(config_fields(changed, version=2, engine=False))
         await p.until(lambda: one.node.catalog.revision == 2)
-        async with inspected(one) as first, inspected(other) as second:
+        async with (
+            serve_inspection(one) as first,
+            serve_inspection(other) as second,
+        ):
             words = ["route", "explain", "a.example", "/a/x"]
             words += ["--node", first, "--node", second]
-            code, out, _ = await asked(*words)
+            code, out, _ = await run_command(*words)
             assert code == Exit.OK
             assert "2 nodes give 2 answers" in out
             assert "route new" in out
             assert "route ask" in out
-            code, out, _ = await asked(
+            code, out, _ = await run_command(
                 "route", "list", "--node", first, "--changes"
             )
             assert "version 2 after 1" in out
@@ -125,15 +128,15 @@
     platform(scenario, *ROUTES)
 
 
-def test_routes_that_do_not_serve_are_listed(platform, asked):
+def test_routes_that_do_not_serve_are_listed(platform, run_command):
     async def scenario(p):
-        async with inspected(p.entries[0]) as node:
-            code, out, _ = await asked("route", "list", "--node", node)
+        async with serve_inspection(p.entries[0]) as node:
+            code, out, _ = await run_command("route", "list", "--node", node)
             assert code == Exit.OK
             assert "3 routes" in out
             assert "its service none has no replica" in out
             assert "ask has the same host and prefix" in out
-            code, out, _ = await asked(
+            code, out, _ = await run_command(
                 "route", "list", "--all", "--node", node
             )
             assert "/a/note/" in out
@@ -141,11 +144,11 @@
     platform(scenario, *ROUTES)
 
 
-def test_a_long_list_comes_in_pages_and_of_one_version(platform, asked):
+def test_a_long_list_comes_in_pages_and_of_one_version(platform, run_command):
     async def scenario(p):
-        async with inspected(p.entries[0]) as node:
+        async with serve_inspection(p.entries[0]) as node:
             words = ("route", "list", "--node", node, "--all")
-            code, out, _ = await asked(*words, "--output", "json")
+            code, out, _ = await run_command(*words, "--output", "json")
             found = json.loads(out[out.index("{\n") :])
             assert code == Exit.OK
             assert len(found["routes"]) == 2_500
@@ -157,20 +160,20 @@
     platform(scenario, *many)
 
 
-def test_a_request_is_found_in_a_nodes_last_lines(platform, asked):
+def test_a_request_is_found_in_a_nodes_last_lines(platform, run_command):
     async def scenario(p):
         recent = RecentLines()
         for number, event in enumerate(("attempt_ended", "served")):
             line = {"event": event, "node": "front-0", "request_id": "abc"}
             line["timestamp"] = f"2026-01-01T00:00:0{number}Z"
             recent.add(json.dumps(line))
-        async with inspected(p.entries[0], recent) as node:
-            code, out, _ = await asked(
+        async with serve_inspection(p.entries[0], recent) as node:
+            code, out, _ = await run_command(
                 "request", "trace", "abc", "--node", node
             )
             assert code == Exit.OK
             assert out.index("attempt_ended") < out.index("served")
-            code, _, err = await asked(
+            code, _, err = await run_command(
                 "request", "trace", "other", "--node", node
             )
             assert code == Exit.NOT_FOUND
@@ -179,19 +182,21 @@
     platform(scenario, *ROUTES)
 
 
-def test_a_node_that_has_dropped_lines_says_so(platform, asked):
+def test_a_node_that_has_dropped_lines_says_so(platform, run_command):
     async def scenario(p):
         recent = RecentLines(most_characters=10)
         recent.add("0123456789")
         recent.add("0123456789")
-        async with inspected(p.entries[0], recent) as node:
-            _, _, err = await asked("request", "trace", "x", "--node", node)
+        async with serve_inspection(p.entries[0], recent) as node:
+            _, _, err = await run_command(
+                "request", "trace", "x", "--node", node
+            )
             assert "has dropped 1 older ones: look in its logs" in err
 
     platform(scenario, *ROUTES)
 
 
-def test_a_node_that_does_not_answer_is_one_clear_line(platform, asked):
+def test_a_node_that_does_not_answer_is_one_clear_line(platform, run_command):
     async def scenario(p):
         node = f"127.0.0.1:{free_port()}"
         for words in (
@@ -199,12 +204,12 @@
             ("route", "list", "--node", node),
             ("request", "trace", "abc", "--node", node),
         ):
-            code, _, err = await asked(*words)
+            code, _, err = await run_command(*words)
             assert code == Exit.UNAVAILABLE
             assert f"node {node} does not answer" in err
             assert err.count("\n") == 1
-        async with inspected(p.entries[0]) as live:
-            code, out, _ = await asked(
+        async with serve_inspection(p.entries[0]) as live:
+            code, out, _ = await run_command(
                 *("route", "explain", "a.example", "/a/x"),
                 *("--node", node, "--node", live),
             )
@@ -214,15 +219,17 @@
     platform(scenario, *ROUTES)
 
 
-def test_bad_questions_are_refused(platform, asked):
+def test_bad_questions_are_refused(platform, run_command):
     async def scenario(p):
-        async with inspected(p.entries[0]) as node:
-            code, _, err = await asked(
+        async with serve_inspection(p.entries[0]) as node:
+            code, _, err = await run_command(
                 "request", "trace", "x" * 300, "--node", node
             )
             assert code == Exit.UNAVAILABLE
             assert "answered 400" in err
-            code, _, err = await asked("route", "list", "--node", "nowhere")
+            code, _, err = await run_command(
+                "route", "list", "--node", "nowhere"
+            )
             assert code == Exit.USAGE
 
     platform(scenario, *ROUTES)
@@ -239,14 +246,16 @@
 )
 
 
-def test_workspaces_are_listed_by_use(platform, asked):
+def test_workspaces_are_listed_by_use(platform, run_command):
     """Guards against a hot workspace that nobody finds among the others."""
 
     async def scenario(p):
         for number in range(4):
             await p.call(request_id=f"r{number}", authorization="Token k-2")
-        async with inspected(p.entries[0]) as node:
-            code, out, _ = await asked("workspace", "list", "--node", node)
+        async with serve_inspection(p.entries[0]) as node:
+            code, out, _ = await run_command(
+                "workspace", "list", "--node", node
+            )
         assert code == Exit.OK
         lines = [line.split() for line in out.splitlines()]
         first = lines.index(["hot", "1.0", "2.0", "-", "2", "2"])
@@ -256,20 +265,20 @@
     platform(scenario, config=KEYED)
 
 
-def test_a_refused_workspace_is_explained(platform, asked):
+def test_a_refused_workspace_is_explained(platform, run_command):
     """Guards against a refusal whose reason no operator can find."""
 
     async def scenario(p):
         for number in range(4):
             await p.call(request_id=f"r{number}", authorization="Token k-2")
         words = ("workspace", "explain", "--node")
-        async with inspected(p.entries[0]) as node:
-            code, out, _ = await asked(*words, node, "hot")
+        async with serve_inspection(p.entries[0]) as node:
+            code, out, _ = await run_command(*words, node, "hot")
             assert code == Exit.OK
             assert "1 requests a second, burst 2" in out
             assert "2 let in, 2 refused" in out
             assert "of this node's share, a part in 1" in out
-            code, out, _ = await asked(*words, node, "none")
+            code, out, _ = await run_command(*words, node, "none")
             assert code == Exit.NOT_FOUND
             assert "no such workspace" in out
 
--- a/dahliashunt/platform/tests/test_online.py
+++ b/dahliashunt/platform/tests/test_online.py
@@ -18,11 +18,11 @@
 ONCE = route_fields(kind="non_idempotent", resumable=False)
 
 
-def texts(body):
+def data_lines(body):
     return [line for line in body.decode().splitlines() if line[:4] == "data"]
 
 
-def whole_stream(events):
+def expected_lines(events):
     return [f"data: text {n}" for n in range(1, events + 1)]
 
 
@@ -31,7 +31,7 @@
         p.replicas[0].then(events=5)
         answer = await p.call(body=b"prompt")
         assert (answer.status, answer.whole) == (200, True)
-        assert texts(answer.body) == whole_stream(5)
+        assert data_lines(answer.body) == expected_lines(5)
         assert answer.head.get("dahliashunt-response-seal") == "seal-i-0"
         arrival = p.replicas[0].arrivals[0]
         assert arrival.body == b"prompt"
@@ -52,7 +52,7 @@
         first = {r.replica_id: r for r in p.replicas}
         answer = await p.call()
         assert answer.whole
-        assert texts(answer.body) == whole_stream(6)
+        assert data_lines(answer.body) == expected_lines(6)
         arrivals = [a for r in first.values() for a in r.arrivals]
         assert sorted(
             a.headers.get("last-event-id", "0") for a in arrivals
@@ -69,7 +69,7 @@
             replica.then(events=4, silent_after=2).then(events=4)
         answer = await p.call()
         assert answer.whole
-        assert texts(answer.body) == whole_stream(4)
+        assert data_lines(answer.body) == expected_lines(4)
 
     platform(scenario, replicas=2)
 
@@ -89,7 +89,7 @@
     async def scenario(p):
         p.replicas[0].then(events=4)
         answer = await p.call(last_event=2)
-        assert texts(answer.body) == ["data: text 3", "data: text 4"]
+        assert data_lines(answer.body) == ["data: text 3", "data: text 4"]
 
     platform(scenario)
 
@@ -270,8 +270,8 @@
 def test_a_leaving_entry_turns_new_connections_away(platform, monkeypatch):
     # The ports stay open as long as new connections may still come, here
     # for longer than the test takes on the slowest machine.
-    monkeypatch.setattr(serve_entry, "NEW_CONNECTIONS_MS", 600_000)
-    monkeypatch.setattr(serve_entry, "LEAVE_MARGIN_MS", -600_000)
+    monkeypatch.setattr(serve_entry, "DEREGISTRATION_DELAY_MS", 600_000)
+    monkeypatch.setattr(serve_entry, "SHUTDOWN_MARGIN_MS", -600_000)
 
     async def scenario(p):
         p.replicas[0].then(events=20)
@@ -298,7 +298,7 @@
         connection = await p.dial()
         box = connection.start(caller_request())
         await p.until(lambda: p.replicas[0].running == 1)
-        await entry.finish(entry.node.clock.now_ms() + 10_000)
+        await entry.drain(entry.node.clock.now_ms() + 10_000)
         events = await box.take()
         while not isinstance(events[-1], End):
             events += await box.take(5000)
@@ -375,7 +375,7 @@
         second.steps = first.steps
         answer = await p.call()
         assert not answer.whole
-        assert texts(answer.body) == whole_stream(3)
+        assert data_lines(answer.body) == expected_lines(3)
         assert b"gone" not in answer.body
 
     platform(scenario, replicas=2)
--- a/dahliashunt/platform/tests/test_boot.py
+++ b/dahliashunt/platform/tests/test_settings.py
@@ -15,12 +15,12 @@
 from dahliashunt.errors import SettingsError
 from dahliashunt.metrics import Metrics
 from dahliashunt.platform.__main__ import main
-from dahliashunt.platform.boot import load_boot
 from dahliashunt.platform.metrics_page import MetricsPage
 from dahliashunt.platform.operator import decode_catalog
 from dahliashunt.platform.operator import decode_replica
-from dahliashunt.platform.operator import Undecodable
+from dahliashunt.platform.operator import DecodeError
 from dahliashunt.platform.reload import SettingsWatch
+from dahliashunt.platform.settings import load_settings
 from dahliashunt.platform.standins.settings import config_fields
 from dahliashunt.platform.standins.settings import replica_fields
 from dahliashunt.platform.standins.settings import route_fields
@@ -32,7 +32,7 @@
 @pytest.fixture
 def write(tmp_path):
     """Return ``write(**changed)``, which writes a file and names it."""
-    path = tmp_path / "boot.json"
+    path = tmp_path / "settings.json"
 
     def written(text=None, **changed):
         fields = settings_fields(STORE, **changed)
@@ -43,11 +43,11 @@
 
 
 def test_settings_are_read_and_unknown_keys_left_alone(write):
-    boot = load_boot(write(**{"port-range": [7, 9], "new-key": {}}))
-    assert boot.store.address == STORE
-    assert (boot.first_port, boot.last_port) == (7, 9)
-    assert boot.bounds.leave_ms == 8000
-    assert boot.replica is None
+    settings = load_settings(write(**{"port-range": [7, 9], "new-key": {}}))
+    assert settings.store.address == STORE
+    assert (settings.first_port, settings.last_port) == (7, 9)
+    assert settings.bounds.termination_grace_ms == 8000
+    assert settings.replica is None
 
 
 @pytest.mark.parametrize(
@@ -63,13 +63,13 @@
 )
 def test_a_wrong_key_is_named(write, changed, named):
     with pytest.raises(SettingsError, match=f"json: {named}: "):
-        load_boot(write(**changed))
+        load_settings(write(**changed))
 
 
 def test_a_file_that_is_no_table_is_refused(write):
     for text in ("{", "[]"):
         with pytest.raises(SettingsError):
-            load_boot(write(text))
+            load_settings(write(text))
 
 
 def test_a_broken_file_changes_nothing(write):
@@ -79,17 +79,17 @@
     taken = []
     watch = SettingsWatch(
         path,
-        load_boot(path),
+        load_settings(path),
         taken.append,
         VirtualClock(),
         structlog.get_logger(),
     )
     write('{"node-name": ')
-    watch.read_again()
+    watch.reload_settings()
     assert taken == []
     write(**{"zone": "south"})
-    watch.read_again()
-    assert [boot.data_centre for boot in taken] == ["south"]
+    watch.reload_settings()
+    assert [settings.data_centre for settings in taken] == ["south"]
 
 
 @pytest.mark.parametrize(
@@ -106,7 +106,7 @@
 )
 def test_an_entry_of_another_writer_names_no_replica(changed):
     text = json.dumps({**replica_fields(STORE), **changed})
-    with pytest.raises(Undecodable):
+    with pytest.raises(DecodeError):
         decode_replica("i-1", text)
 
 
@@ -142,7 +142,7 @@
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"version": 1}'])
 def test_what_is_no_configuration_is_refused(text):
-    with pytest.raises(Undecodable):
+    with pytest.raises(DecodeError):
         decode_catalog(text)
 
 
