--- a/dahliashunt/platform/__init__.py
+++ b/dahliashunt/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Translation between the users' platform and the product.
+"""Adapters between the users' platform and this package.
 
-Wire names are decoded here once, into types of the product. Decisions,
-state and recovery are elsewhere and know none of these names.
+Header names, settings keys and row fields of the platform are decoded here
+into types of this package; the other packages do not depend on them.
 """
--- a/dahliashunt/platform/__main__.py
+++ b/dahliashunt/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Run one program of dahliashunt on the users' platform.
+"""Run an entry or an agent on the users' platform.
 
 Usage:
   dahliashunt-platform entry [--metrics-port PORT] [--caps POLICY]
@@ -42,7 +42,8 @@
 __all__ = ["main"]
 
 CAP_POLICIES = ("equal-share", "metered")
-"""Names in `RATE_LIMIT_POLICIES`, whose modules an agent does without."""
+"""Keys of `RATE_LIMIT_POLICIES`; repeated here because an agent does not
+import its modules."""
 
 LAST_PORT = 65_535
 SETTINGS_VARIABLE = "DAHLIASHUNT_CONFIG"
@@ -59,14 +60,20 @@
         return ExitCode.SETTINGS
     policy = arguments["--caps"]
     if policy not in CAP_POLICIES:
-        print(f"--caps: {policy} is no policy", file=sys.stderr)
+        print(
+            f"--caps: expected equal-share or metered, got {policy}",
+            file=sys.stderr,
+        )
         return ExitCode.SETTINGS
     if arguments["--check-settings"]:
         print(f"{path}: ok")
         return ExitCode.OK
     port = arguments["--metrics-port"]
     if not port.isdigit() or int(port) > LAST_PORT:
-        print(f"--metrics-port: {port} is not a port", file=sys.stderr)
+        print(
+            f"--metrics-port: expected a port number, got {port}",
+            file=sys.stderr,
+        )
         return ExitCode.SETTINGS
     role = "entry" if arguments["entry"] else "agent"
     recent = RecentLines()
@@ -82,8 +89,7 @@
 
 
 def _serve(role):
-    # Each role imports only its own parts: start-up on a weak machine is
-    # mostly the import of modules.
+    # Imports only the modules of this role, which shortens start-up.
     if role == "entry":
         from dahliashunt.platform.serve_entry import serve_entry
 
--- a/dahliashunt/platform/dialect.py
+++ b/dahliashunt/platform/dialect.py
@@ -1,4 +1,4 @@
-"""What replicas speak: requests to them, their answers, their reports."""
+"""HTTP dialect of replicas: requests, responses and load reports."""
 
 from dataclasses import dataclass
 import json
@@ -28,12 +28,12 @@
 
 
 class PlatformDialect:
-    """`ReplicaDialect` of the platform's replicas."""
+    """Implementation of `ReplicaDialect` for the platform's replicas."""
 
     def request(
         self, call: Call, replica: Replica, left_ms: int, after_event: int
     ) -> bytes:
-        """Return the bytes of `call` towards `replica`."""
+        """Return `call` as an HTTP request to `replica`."""
         headers = [
             (name, value)
             for name, value in call.headers
@@ -48,24 +48,24 @@
         return encode_request(call.method, call.target, headers, call.body)
 
     def answers(self, call: Call, head: ResponseHead) -> bool:
-        """Tell whether `head` belongs to `call`.
+        """Tell whether `head` is a response to `call`.
 
-        A late answer to an earlier request on the connection names that
-        one's id; an answer without an id is taken as ours.
+        A late response to an earlier request on the connection carries
+        that request's id; one without an id is taken to match.
         """
         echoed = head.get(REQUEST_ID)
         return echoed is None or echoed == call.request_id
 
     def proves_not_run(self, head: ResponseHead) -> bool:
-        """Tell whether the replica says that it did not run the call."""
+        """Tell whether the replica reports that it did not run the call."""
         return head.status == 421 or head.get(NOT_RUN) is not None
 
     def is_signed(self, head: ResponseHead) -> bool:
-        """Tell whether the answer bears its replica's signature."""
+        """Tell whether the response carries the replica's signature."""
         return head.get(SIGNATURE) is not None
 
     def relayed_headers(self, head: ResponseHead) -> list[tuple[str, str]]:
-        """Return the headers that go on to the caller."""
+        """Return the headers to pass on to the caller."""
         return [
             (name, value)
             for name, value in head.headers
@@ -75,14 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaReport:
-    """What a replica says of its load.
+    """Load of a replica as reported by itself.
 
     Attributes
     ----------
     running : frozenset of str
-        Request ids that it runs.
+        Ids of running requests.
     running_count, waiting : int
-        Requests that run, and those in its own queue.
+        Numbers of running and of queued requests.
     """
 
     running: frozenset
@@ -91,10 +91,10 @@
 
 
 def decode_report(body: bytes) -> ReplicaReport:
-    """Return the report in `body`; raise `ValueError` if it is none."""
+    """Return the report in `body`; raise `ValueError` if it is invalid."""
     try:
         fields = json.loads(body)
-        # Lists of id, tokens in memory, events made and rank.
+        # Each run is [id, tokens in memory, events sent, rank].
         runs = fields.get("runs") or ()
         running = frozenset(str(run[0]) for run in runs)
         return ReplicaReport(
@@ -103,4 +103,4 @@
             waiting=int(fields["num-waiting"]),
         )
     except (KeyError, TypeError, IndexError, AttributeError) as error:
-        raise ValueError(f"not a report: {error!r}") from None
+        raise ValueError(f"invalid replica report: {error!r}") from None
--- a/dahliashunt/platform/listeners.py
+++ b/dahliashunt/platform/listeners.py
@@ -1,4 +1,4 @@
-"""Rows of the operator's table and of the list, handed to the product."""
+"""Listeners that apply rows of the configuration and of the replicas."""
 
 from dahliashunt.forwarding.node import Node
 from dahliashunt.forwarding.replicas import ReplicaRegistry
@@ -20,38 +20,38 @@
 
 
 class ConfigListener:
-    """Adopts configurations."""
+    """Applies configuration rows to a node."""
 
     def __init__(self, node: Node, log):
         self._node = node
         self._log = log
 
     def replaced(self, rows) -> None:
-        """Take over the newest one, if there is one."""
+        """Apply a snapshot of the table."""
         for row in rows:
             self.changed(row)
 
     def changed(self, row: Row) -> None:
-        """Take over one row."""
+        """Apply one row."""
         if row.key != CONFIG_KEY:
             return
         try:
             catalog = decode_catalog(row.value)
         except DecodeError as error:
-            # What is in force stays: a broken row changes nothing.
+            # Keeps the configuration in force if the new one is invalid.
             self._log.error("configuration_unreadable", reason=str(error))
             return
         self._node.adopt(catalog)
 
     def removed(self, key: str) -> None:
-        """Keep what is in force: a configuration is never taken away."""
+        """Ignore the removal: the configuration in force stays."""
 
     def outage_ended(self) -> None:
-        """Nothing to do: the next read brings what changed."""
+        """Do nothing: the next read delivers the changes."""
 
 
 class ReplicaListener:
-    """Keeps the book of replicas."""
+    """Applies rows of the list of replicas to the registry."""
 
     def __init__(self, registry: ReplicaRegistry, clock: Clock, log):
         self._registry = registry
@@ -59,14 +59,14 @@
         self._log = log
 
     def replaced(self, rows) -> None:
-        """Take over the whole list."""
+        """Apply a snapshot of the list."""
         decoded = [(self._decode(row), row.version) for row in rows]
         replicas = [pair for pair in decoded if pair[0] is not None]
         self._registry.replace_all(replicas, self._clock.now_ms())
         self._log.info("replicas_read", listed=len(rows), usable=len(replicas))
 
     def changed(self, row: Row) -> None:
-        """Take over one entry."""
+        """Apply one row, or drop its replica if it cannot be decoded."""
         replica = self._decode(row)
         if replica is None:
             self.removed(row.key)
@@ -84,13 +84,13 @@
         self._registry.put(replica, row.version, self._clock.now_ms())
 
     def removed(self, key: str) -> None:
-        """Drop one entry."""
+        """Remove the replica of a deleted row."""
         replica_id = key.removeprefix(REPLICAS_PREFIX)
         self._log.info("replica_removed", replica=replica_id)
         self._registry.remove(replica_id, self._clock.now_ms())
 
     def outage_ended(self) -> None:
-        """Entries that lapsed meanwhile are kept for a while."""
+        """Keep replicas that lapsed during the outage for a grace period."""
         self._registry.outage_ended(self._clock.now_ms())
 
     def _decode(self, row):
--- a/dahliashunt/platform/metrics_page.py
+++ b/dahliashunt/platform/metrics_page.py
@@ -1,4 +1,4 @@
-"""Metrics of a program over HTTP."""
+"""Metrics and inspection pages over HTTP."""
 
 from dahliashunt.adapters.http_server import HttpServer
 from dahliashunt.forwarding.explain import Explainer
@@ -14,13 +14,13 @@
 
 
 class MetricsPage:
-    """ASGI application that shows `metrics` as text."""
+    """ASGI application that serves `metrics` in the text format."""
 
     def __init__(self, metrics: Metrics):
         self._metrics = metrics
 
     async def __call__(self, scope, receive, send) -> None:
-        """Answer one question."""
+        """Respond to one request."""
         if scope["path"] == METRICS_PATH:
             await send_text(send, 200, self._metrics.text().encode())
         else:
@@ -35,7 +35,7 @@
     explainer: Explainer | None = None,
     workspaces: WorkspaceExplainer | None = None,
 ):
-    """Serve metrics on `port`; return the server, or None for port 0.
+    """Serve metrics and inspection; return the server, or None for port 0.
 
     Parameters
     ----------
@@ -43,11 +43,11 @@
     host : str
     port : int
     recent : RecentLines
-        The program's last log lines, which may be asked for by an id.
+        The program's last log lines, searchable by request id.
     explainer : Explainer, optional
-        Answers questions about routes, where there are some.
+        Explains routes; omitted for a program without routes.
     workspaces : WorkspaceExplainer, optional
-        The same about workspaces.
+        Explains workspaces; omitted for a program without them.
     """
     if not port:
         return None
--- a/dahliashunt/platform/names.py
+++ b/dahliashunt/platform/names.py
@@ -1,4 +1,4 @@
-"""Header names of the platform, in lower case as parsers give them."""
+"""Header names of the platform, in lower case as the parser yields them."""
 
 __all__ = [
     "ANSWERED_BY",
@@ -20,10 +20,10 @@
 REQUEST_ID = "dahliashunt-request-id"
 
 BUDGET = "dahliashunt-request-timeout-ms"
-"""How long the caller still waits; towards a replica, what is left."""
+"""Time that the caller still waits, or that remains for a replica, in ms."""
 
 EXPECTED_REPLICA = "dahliashunt-expect-instance"
-"""A replica; the platform says instance where we say replica."""
+"""Id of the replica that must serve the request; others refuse it."""
 
 ANSWERED_BY = "dahliashunt-instance-id"
 NOT_RUN = "dahliashunt-not-executed"
@@ -35,10 +35,10 @@
 
 AUTHORIZATION = "authorization"
 KEY_SCHEME = "Token"
-"""Callers send ``Authorization: Token KEY``."""
+"""Authentication scheme: ``Authorization: Token KEY``."""
 
 WORKSPACE = "dahliashunt-tenant"
-"""Set here alone; the platform says tenant where we say workspace."""
+"""Workspace of a request, set by the entry; callers' values are dropped."""
 
 HOP_BY_HOP = frozenset(
     (
@@ -53,4 +53,4 @@
         "expect",
     )
 )
-"""Headers of one connection, never passed on; the length is set anew."""
+"""Headers that are not forwarded; the content length is set again."""
--- a/dahliashunt/platform/plain_text.py
+++ b/dahliashunt/platform/plain_text.py
@@ -1,15 +1,15 @@
-"""Answer a question of the platform with a few lines of text."""
+"""Short plain-text responses for ASGI applications."""
 
 __all__ = ["send_text"]
 
 
 async def send_text(send, status: int, body: bytes) -> None:
-    """Send a whole answer as plain text.
+    """Send a complete response as plain text.
 
     Parameters
     ----------
     send : callable
-        Of the ASGI application.
+        ASGI send callable.
     status : int
     body : bytes
     """
--- a/dahliashunt/platform/settings.py
+++ b/dahliashunt/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, as typed settings of this package."""
+"""Settings file of the platform, decoded and checked."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -24,22 +24,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformBounds:
-    """Times that the platform promises or asks for, in milliseconds.
+    """Time limits and tolerances that the platform sets.
 
     Attributes
     ----------
     termination_grace_ms : int
-        From SIGTERM to SIGKILL.
+        Time from SIGTERM to SIGKILL.
     drain_ms : int
-        A leaving replica goes on serving for so long.
+        Time for which a leaving replica continues to serve.
     config_apply_ms : int
-        Within it a configuration is in force.
+        Time within which a new configuration takes effect.
     cancel_ms : int
-        Within it a cancelled batch job's items no longer start.
+        Time after which no item of a cancelled batch job starts.
     result_retention_ms : int
-        How long results stay readable.
+        Time for which results stay readable.
     limit_slack : float
-        Requests by which a workspace may be above its limit in a window.
+        Requests by which a workspace may exceed its limit in a window.
     """
 
     termination_grace_ms: int
@@ -58,7 +58,7 @@
     ----------
     address : Address
     row_bytes, object_bytes : int
-        Longest value of a row, and longest object.
+        Maximum size of a row's value and of an object, in bytes.
     """
 
     address: Address
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """What a process is told at its start.
+    """Settings of one process.
 
     Attributes
     ----------
@@ -76,16 +76,16 @@
     data_centre : DataCentreId
     ip : str
     callers, readiness : Address or None
-        Where an entry listens.
+        Addresses on which an entry listens.
     first_port, last_port : int
-        For traffic between the system's own nodes.
+        Ports for traffic between entries and agents.
     replica : Address or None
-        Of an agent: the replica on its machine.
+        The replica on an agent's machine; None for an entry.
     store : StoreSettings
     bounds : PlatformBounds
     memory_mb : int
     cores : float
-        Share of one core, times its speed.
+        CPU share times the number of cores.
     """
 
     node_id: NodeId
@@ -104,20 +104,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchOptions:
-    """How a program was started.
+    """Settings and command-line options of a program.
 
     Attributes
     ----------
     path : str
-        The settings file, to be read again.
+        The settings file, which is read again when it changes.
     settings : PlatformSettings
-        What it held.
+        Content of the file at start-up.
     metrics_port : int
-        Where metrics are served; 0 for nowhere.
+        Port on which metrics are served; 0 disables them.
     rate_limit_policy : str
-        Policy by which workspaces are held to their limits.
+        Name of the policy that enforces workspaces' limits.
     recent : RecentLines
-        What it has logged of late.
+        Log lines written recently.
     """
 
     path: str
@@ -128,7 +128,7 @@
 
 
 class _Reader:
-    """Reads keys of nested tables; an error names the whole key."""
+    """Reads keys of nested objects; errors name the full key path."""
 
     def __init__(self, path, table, prefix=""):
         self._path = path
@@ -141,21 +141,21 @@
     def table(self, key):
         value = self._table.get(key)
         if not isinstance(value, dict):
-            self.fail(key, "a table is wanted")
+            self.fail(key, "expected an object")
         return _Reader(self._path, value, f"{self._prefix}{key}.")
 
     def text(self, key):
         value = self._table.get(key)
         if not isinstance(value, str) or not value:
-            self.fail(key, "a text is wanted")
+            self.fail(key, "expected a non-empty string")
         return value
 
     def number(self, key, default=None):
         value = self._table.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            self.fail(key, "a number is wanted")
+            self.fail(key, "expected a number")
         if value < 0:
-            self.fail(key, f"{value} is below 0")
+            self.fail(key, f"expected a number >= 0, got {value}")
         return value
 
     def milliseconds(self, key, per_unit=1):
@@ -166,7 +166,7 @@
             return None
         host, _, port = self.text(key).rpartition(":")
         if not host or not port.isdigit():
-            self.fail(key, "HOST:PORT is wanted")
+            self.fail(key, "expected HOST:PORT")
         return (host, int(port))
 
     def ports(self, key):
@@ -177,28 +177,27 @@
             or not all(type(port) is int for port in value)
             or value[0] >= value[1]
         ):
-            self.fail(key, "two ports, the lower one first, are wanted")
+            self.fail(key, "expected [FIRST, LAST] ports")
         return value
 
 
 def load_settings(path: str) -> PlatformSettings:
     """Read the settings file at `path`.
 
-    Keys that this package does not know are left alone: the platform adds
-    some from time to time.
+    Unknown keys are ignored, so that the platform can add new ones.
 
     Raises
     ------
     SettingsError
-        It cannot be read, or a key is missing or wrong; the text names
-        file and key.
+        If the file cannot be read, or a key is missing or invalid. The
+        message names the file and the key.
     """
     try:
         table = json.loads(pathlib.Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
         raise SettingsError(f"{path}: {error}") from None
     if not isinstance(table, dict):
-        raise SettingsError(f"{path}: a table is wanted")
+        raise SettingsError(f"{path}: expected an object")
     return _read(_Reader(path, table))
 
 
--- a/dahliashunt/platform/tests/test_settings.py
+++ b/dahliashunt/platform/tests/test_settings.py
@@ -149,7 +149,7 @@
 def test_the_command_line_checks_settings(write, monkeypatch, capsys):
     monkeypatch.setenv("DAHLIASHUNT_CONFIG", write(zone=3))
     assert main(["entry", "--check-settings"]) == 2
-    assert "zone: a text is wanted" in capsys.readouterr().err
+    assert "zone: expected a non-empty string" in capsys.readouterr().err
     monkeypatch.setenv("DAHLIASHUNT_CONFIG", write())
     assert main(["agent", "--check-settings"]) == 0
     assert main(["entry", "--metrics-port", "x"]) == 2
