--- a/dahliashunt/platform/tests/conftest.py
+++ b/dahliashunt/platform/tests/conftest.py
@@ -1,4 +1,4 @@
-"""An entry of the real parts between stand-ins of the platform."""
+"""Fixtures that run entries against stand-ins of the platform."""
 
 import asyncio
 import json
@@ -22,8 +22,7 @@
 from dahliashunt.platform.standins.settings import route_fields
 
 TIMEOUT_S = 20
-"""Longest that a condition is waited for: far beyond any wait of the
-parts, so that only a fault reaches it."""
+"""Timeout of a condition, longer than any wait of a correct entry."""
 
 
 def free_port():
@@ -34,7 +33,7 @@
 
 
 class Answer:
-    """What a caller got.
+    """Response that a caller received.
 
     Attributes
     ----------
@@ -117,7 +116,7 @@
         )
 
     async def kill(self, entry):
-        """Stop an entry as a kill does: nothing is said to anybody."""
+        """Stop an entry abruptly, without a notice to other nodes."""
         for task in self._tasks.pop(entry):
             task.cancel()
         self.entries.remove(entry)
@@ -151,18 +150,18 @@
     ):
         """Send one request to an entry; return the `Answer`.
 
-        Port 0 is the callers', 1 the one for questions of readiness.
+        Port 0 serves callers, port 1 readiness.
         """
         connection = await self.dial(entry, port)
         request = caller_request(method, target, body, **headers)
         events = await exchange(connection, request, TIMEOUT_S * 1000)
-        assert events is not None, "the answer never ended"
+        assert events is not None, "the response did not end in time"
         return Answer(events)
 
 
 @pytest.fixture
 def platform(tmp_path):
-    """Return ``run_scenario(scenario, **open)``, which runs one in a loop."""
+    """Return a function that runs a scenario on an opened `Platform`."""
 
     def run_scenario(scenario, *routes, **how):
         async def main():
--- a/dahliashunt/platform/tests/test_inspect.py
+++ b/dahliashunt/platform/tests/test_inspect.py
@@ -1,4 +1,4 @@
-"""Questions of an operator's terminal to nodes that serve."""
+"""Tests of the operator's commands against running nodes."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 @contextlib.asynccontextmanager
 async def serve_inspection(entry, recent=None):
-    """Serve an entry's page; yield its address."""
+    """Serve an entry's inspection page; yield its address."""
     recent = recent or RecentLines()
     metrics = MetricsPage(Metrics("x"))
     page = InspectPage(entry.explainer, recent, metrics, entry.workspaces)
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def run_command(capsys):
-    """Return ``ask(*words)``, which runs a command beside the nodes."""
+    """Return a coroutine function that runs a command of the operator."""
 
     async def ask(*words):
         code = await asyncio.to_thread(main, list(words))
@@ -52,8 +52,7 @@
 
 
 def test_a_route_is_explained_as_it_serves_now(platform, run_command):
-    # A restorer stands with glue setting on a request, and nobody can tell
-    # from thousands of routes which one takes it and who is asked.
+    # Guards against an explanation that differs from how requests are routed.
     async def scenario(p):
         async with serve_inspection(p.entries[0]) as node:
             words = ("route", "explain", "--node", node)
@@ -99,7 +98,7 @@
 
 
 def test_nodes_with_two_versions_are_told_apart(platform, run_command):
-    # A change is on its way: one node has it, the other lost the store.
+    # Guards against hiding that a node without the store has old routes.
     async def scenario(p):
         one, other = p.entries[0], await p.add_entry()
         other.jobs.store.address = ("127.0.0.1", free_port())
@@ -247,7 +246,7 @@
 
 
 def test_workspaces_are_listed_by_use(platform, run_command):
-    """Guards against a hot workspace that nobody finds among the others."""
+    """Guards against a busy workspace that is not listed first."""
 
     async def scenario(p):
         for number in range(4):
@@ -266,7 +265,7 @@
 
 
 def test_a_refused_workspace_is_explained(platform, run_command):
-    """Guards against a refusal whose reason no operator can find."""
+    """Guards against a refusal that is not explained to the operator."""
 
     async def scenario(p):
         for number in range(4):
--- a/dahliashunt/platform/tests/test_online.py
+++ b/dahliashunt/platform/tests/test_online.py
@@ -1,4 +1,4 @@
-"""Requests through an entry between stand-ins of store and replicas."""
+"""Tests of requests through an entry, with stand-ins for the platform."""
 
 import asyncio
 
@@ -43,9 +43,7 @@
 
 
 def test_a_broken_stream_goes_on_elsewhere(platform):
-    # A restorer's answer stops in the middle of a word: the replica was
-    # reset inside its fourth event. The caller sees one whole answer, no
-    # event missing and none twice.
+    # Guards against lost or repeated events after a connection reset.
     async def scenario(p):
         for replica in p.replicas:
             replica.then(events=6, cut_after=3).then(events=6)
@@ -62,8 +60,7 @@
 
 
 def test_a_silent_stream_is_left_when_another_replica_has_room(platform):
-    # The replica goes dark after two events, without a reset. Nothing but
-    # the pause between events shows it.
+    # Guards against waiting for a replica that stalls without a reset.
     async def scenario(p):
         for replica in p.replicas:
             replica.then(events=4, silent_after=2).then(events=4)
@@ -95,9 +92,8 @@
 
 
 def test_a_call_that_may_run_once_is_never_sent_twice(platform):
-    # A buyer is told of the same gearbox twice: the replica ran the call
-    # and its answer was lost. Whether it ran is unknown, so that neither
-    # a retry nor a "not run" may follow.
+    # Guards against a retry, or a status that promises that the request did
+    # not run, when its response was lost.
     async def scenario(p):
         for replica in p.replicas:
             replica.then(events=3, cut_after=0)
@@ -132,9 +128,8 @@
 
 
 def test_a_call_that_was_never_sent_goes_to_another(platform, monkeypatch):
-    # A clerk gets 502 for a ticket that no replica has seen: its replica
-    # went away between the opening of the connection and the request, and
-    # the call, which may run once, was taken for one that may have run.
+    # Guards against treating a call as possibly run when its connection was
+    # lost before the request was sent.
     resets = []
 
     async def take(pool, address, idle_ms=0):
@@ -190,7 +185,7 @@
 
 
 def test_the_final_answer_comes_when_the_route_says_so(platform):
-    # A caller would wait for five seconds, the operator for 300 ms.
+    # The route's timeout is shorter than the caller's.
     async def scenario(p):
         p.replicas[0].then(events=2, silent_after=0)
         answer = await p.call(budget_ms=5000)
@@ -244,7 +239,7 @@
 
 
 def test_an_address_with_another_replica_runs_nothing(platform):
-    # The replica at that address is another one by now.
+    # Guards against running a call at a replica that reuses the address.
     async def scenario(p):
         p.replicas[0].replica_id = "i-new"
         p.replicas[0].then()
@@ -268,8 +263,7 @@
 
 
 def test_a_leaving_entry_turns_new_connections_away(platform, monkeypatch):
-    # The ports stay open as long as new connections may still come, here
-    # for longer than the test takes on the slowest machine.
+    # Keeps the ports open for longer than the test takes.
     monkeypatch.setattr(serve_entry, "DEREGISTRATION_DELAY_MS", 600_000)
     monkeypatch.setattr(serve_entry, "SHUTDOWN_MARGIN_MS", -600_000)
 
@@ -289,9 +283,7 @@
 
 
 def test_a_request_read_while_the_ports_close_is_ended_whole(platform):
-    # A leaving entry looked for requests in progress, found none, and
-    # stopped; a request that came in that tenth of a second was passed on
-    # and cut in the middle of its answer.
+    # Guards against cutting off a request that arrives during shutdown.
     async def scenario(p):
         p.replicas[0].then(events=20, gap_ms=10)
         entry = p.entries[0]
@@ -310,8 +302,7 @@
 def test_a_request_that_takes_its_replicas_down_is_not_sent_for_ever(
     platform,
 ):
-    # The same request comes again and again, at any entry, and each
-    # replica that begins to run it crashes. Others' requests go on.
+    # Guards against a repeated request that crashes every replica.
     async def scenario(p):
         for replica in p.replicas:
             replica.then(events=3, cut_after=0)
@@ -351,9 +342,8 @@
 
 
 def test_a_long_answer_that_breaks_off_is_not_begun_again(platform):
-    # An answer of two megabytes is passed on while it comes, and breaks
-    # off. Another replica's bytes behind it would make a wrong answer
-    # that looks whole.
+    # Guards against appending another replica's bytes to a partly relayed
+    # response.
     async def scenario(p):
         long = b"x" * 2_000_000
         for replica in p.replicas:
@@ -367,8 +357,7 @@
 
 
 def test_a_resumed_stream_that_is_refused_does_not_show_the_refusal(platform):
-    # The replica that should go on answers 404. Its text must not stand
-    # in the middle of the caller's stream.
+    # Guards against the text of an error response in a caller's stream.
     async def scenario(p):
         first, second = p.replicas
         first.then(events=6, cut_after=3).then(status=404, body=b"gone")
@@ -399,9 +388,8 @@
 def test_a_popular_request_is_served_again_after_its_replica_was_lost(
     platform,
 ):
-    # Everybody asks the same question. The one replica loses power with
-    # five of these calls, at two entries; each entry counted each call,
-    # and nobody got an answer to the question for ten minutes.
+    # Guards against quarantining a request because one replica was lost with
+    # several copies of it.
     async def scenario(p):
         p.replicas[0].then(events=3, silent_after=1)
         entries = [p.entries[0], await p.add_entry()]
@@ -428,10 +416,8 @@
 
 
 def test_a_replica_that_lapsed_and_came_back_in_one_answer_is_known(platform):
-    # The store is away, the list lapses, and its entries are back before a
-    # node's feed is. One answer then holds that each was removed and listed
-    # again; a node that took the removals last had no replica for good and
-    # refused everybody beside a fleet that served.
+    # Guards against applying the removals last when one answer of the feed
+    # holds the removal and the return of the same row.
     async def scenario(p):
         replica, entry = p.replicas[0], p.entries[0]
         fields = replica_fields(replica.address)
@@ -444,7 +430,7 @@
         other = await p.add_replica()
         registry = entry.node.registry
         await p.until(lambda: registry.get(other.replica_id) is not None)
-        # What lapsed in an outage is kept for a while, and then dropped.
+        # Replicas that lapsed in an outage expire after the grace period.
         registry.expire(entry.node.clock.now_ms() + OUTAGE_GRACE_MS)
         assert registry.get(replica.replica_id) is not None
 
--- a/dahliashunt/platform/tests/test_settings.py
+++ b/dahliashunt/platform/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: what is read, and what is refused."""
+"""Tests of the settings file, the command line and decoded rows."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def write(tmp_path):
-    """Return ``write(**changed)``, which writes a file and names it."""
+    """Return a function that writes a settings file and returns its path."""
     path = tmp_path / "settings.json"
 
     def written(text=None, **changed):
@@ -73,8 +73,7 @@
 
 
 def test_a_broken_file_changes_nothing(write):
-    # An operator saves a half-written file. The process goes on with the
-    # settings it has, and takes the next whole file.
+    # Guards against a half-written file that replaces valid settings.
     path = write()
     taken = []
     watch = SettingsWatch(
