--- a/dahliashunt/platform/tests/test_inspect.py
+++ b/dahliashunt/platform/tests/test_inspect.py
@@ -83,7 +83,7 @@
         ("a.example", "a", "it must begin with a slash"),
     ],
 )
-def test_what_no_route_takes_is_said_with_the_reason(
+def test_an_unmatched_request_is_explained(
     platform, run_command, host, path, why
 ):
     async def scenario(p):
@@ -97,7 +97,7 @@
     platform(scenario, *ROUTES)
 
 
-def test_nodes_with_two_versions_are_told_apart(platform, run_command):
+def test_nodes_with_different_revisions_are_shown(platform, run_command):
     # Guards against hiding that a node without the store has old routes.
     async def scenario(p):
         one, other = p.entries[0], await p.add_entry()
--- a/dahliashunt/platform/tests/test_online.py
+++ b/dahliashunt/platform/tests/test_online.py
@@ -42,7 +42,7 @@
     platform(scenario)
 
 
-def test_a_broken_stream_goes_on_elsewhere(platform):
+def test_a_reset_stream_resumes_at_another_replica(platform):
     # Guards against lost or repeated events after a connection reset.
     async def scenario(p):
         for replica in p.replicas:
@@ -59,7 +59,7 @@
     platform(scenario, replicas=2)
 
 
-def test_a_silent_stream_is_left_when_another_replica_has_room(platform):
+def test_a_stalled_stream_resumes_at_another_replica(platform):
     # Guards against waiting for a replica that stalls without a reset.
     async def scenario(p):
         for replica in p.replicas:
@@ -116,7 +116,7 @@
     platform(scenario, ONCE, replicas=2)
 
 
-def test_nobody_took_it_is_said_as_not_run(platform):
+def test_a_refusal_by_all_replicas_is_marked_not_run(platform):
     async def scenario(p):
         for replica in p.replicas:
             replica.then(status=503, not_run=True, body=b"")
@@ -299,7 +299,7 @@
     platform(scenario)
 
 
-def test_a_request_that_takes_its_replicas_down_is_not_sent_for_ever(
+def test_a_request_that_crashes_replicas_is_quarantined(
     platform,
 ):
     # Guards against a repeated request that crashes every replica.
@@ -341,7 +341,7 @@
     platform(scenario, route_fields(**{"max-attempts": 1}))
 
 
-def test_a_long_answer_that_breaks_off_is_not_begun_again(platform):
+def test_a_truncated_long_response_is_not_restarted(platform):
     # Guards against appending another replica's bytes to a partly relayed
     # response.
     async def scenario(p):
--- a/dahliashunt/platform/tests/test_settings.py
+++ b/dahliashunt/platform/tests/test_settings.py
@@ -66,7 +66,7 @@
         load_settings(write(**changed))
 
 
-def test_a_file_that_is_no_table_is_refused(write):
+def test_a_file_without_an_object_is_refused(write):
     for text in ("{", "[]"):
         with pytest.raises(SettingsError):
             load_settings(write(text))
@@ -103,13 +103,13 @@
         {"born": "yesterday"},
     ],
 )
-def test_an_entry_of_another_writer_names_no_replica(changed):
+def test_an_invalid_replica_row_is_refused(changed):
     text = json.dumps({**replica_fields(STORE), **changed})
     with pytest.raises(DecodeError):
         decode_replica("i-1", text)
 
 
-def test_two_lives_under_one_name_differ():
+def test_incarnations_of_a_replica_differ():
     incarnations = {
         decode_replica(
             "i-1", json.dumps(replica_fields(STORE, born=born))
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"version": 1}'])
-def test_what_is_no_configuration_is_refused(text):
+def test_an_invalid_configuration_is_refused(text):
     with pytest.raises(DecodeError):
         decode_catalog(text)
 
