--- a/dahliashunt/platform/ingress.py
+++ b/dahliashunt/platform/ingress.py
@@ -205,7 +205,9 @@
             # The server closes the connection without an end marker if the
             # application returns before the response is complete.
             self._node.log.warning(
-                "answer_cut", request_id=call.request_id, reason=error.message
+                "response_truncated",
+                request_id=call.request_id,
+                reason=error.message,
             )
 
     async def _send_error(self, exchange, error):
