--- a/dahliashunt/platform/job_bodies.py
+++ b/dahliashunt/platform/job_bodies.py
@@ -18,14 +18,19 @@
 from dahliashunt.platform.names import REQUEST_ID
 from dahliashunt.platform.prompts import shared_parts
 
-__all__ = ["JobBodies", "Submitted", "decode_submission", "encode_results"]
-
-MOST_ITEMS = 200
+__all__ = [
+    "PlatformPayloadReader",
+    "SubmittedItem",
+    "decode_submission",
+    "encode_results",
+]
+
+MAX_JOB_ITEMS = 200
 """Items of one job, by the platform's pages."""
 
 
 @dataclass(frozen=True, slots=True)
-class Submitted:
+class SubmittedItem:
     """One item of a submission."""
 
     item: Item
@@ -34,7 +39,7 @@
     body: bytes
 
 
-def decode_submission(payload: bytes) -> list[Submitted]:
+def decode_submission(payload: bytes) -> list[SubmittedItem]:
     """Return the items of a submitted job.
 
     Raises
@@ -46,14 +51,16 @@
         fields = json.loads(payload)
         requests = fields["requests"]
     except (KeyError, TypeError, ValueError) as error:
-        raise _bad(f"not a job: {error!r}") from None
+        raise _bad_request(f"not a job: {error!r}") from None
     if not isinstance(requests, list) or not requests:
-        raise _bad("requests: a list of items is wanted")
-    if len(requests) > MOST_ITEMS:
-        raise _bad(f"requests: at most {MOST_ITEMS} items are taken")
+        raise _bad_request("requests: a list of items is wanted")
+    if len(requests) > MAX_JOB_ITEMS:
+        raise _bad_request(
+            f"requests: at most {MAX_JOB_ITEMS} items are taken"
+        )
     items = [_item(number, each) for number, each in enumerate(requests)]
     if len({each.item.item_id for each in items}) < len(items):
-        raise _bad("requests: an id stands twice")
+        raise _bad_request("requests: an id stands twice")
     return items
 
 
@@ -62,7 +69,7 @@
         tokens = fields["tokens"]
         if type(tokens) is not int or tokens < 0:
             raise ValueError("tokens")
-        return Submitted(
+        return SubmittedItem(
             item=Item(ItemId(str(fields["id"])), tokens),
             path=str(fields["path"]),
             headers=tuple(
@@ -78,14 +85,14 @@
         AttributeError,
         binascii.Error,
     ) as error:
-        raise _bad(f"requests[{number}]: {error!r}") from None
+        raise _bad_request(f"requests[{number}]: {error!r}") from None
 
 
-def _bad(message):
+def _bad_request(message):
     return RequestError(ErrorKind.BAD_REQUEST, message)
 
 
-class JobBodies:
+class PlatformPayloadReader:
     """`PayloadReader` of jobs as the platform's callers submit them."""
 
     def calls(self, job: Job, payload: bytes) -> list[Call]:
--- a/dahliashunt/platform/job_calls.py
+++ b/dahliashunt/platform/job_calls.py
@@ -23,23 +23,23 @@
 
 __all__ = ["JobCalls"]
 
-FRESH_MS = 400
+FEED_FRESHNESS_MS = 400
 """What the feeds said so long ago is trusted to be all there is; beyond
 it an empty answer is checked against the store, so that a result that was
 read at another node is never missing here a second later."""
 
-MOST_WAIT_MS = 1_500
+MAX_POLL_WAIT_MS = 1_500
 """Longest that a read waits for a result: callers wait a little over the
 second that they ask for."""
 
-ELSEWHERE_MS = 50
+RETRY_ELSEWHERE_MS = 50
 """Retry-After of a job that only this node can't take: the caller's next
 try goes to another one."""
 
 _JSON = [("content-type", "application/json")]
 
 
-class Verb(enum.Enum):
+class JobAction(enum.Enum):
     """What a call wants of a job."""
 
     RESULTS = "results"
@@ -47,15 +47,15 @@
     END = "end"
 
 
-_VERB_BY_CALL = {
-    ("GET", "/api/lots/"): Verb.RESULTS,
-    ("DELETE", "/api/lots/"): Verb.END,
-    ("GET", "/api/items/"): Verb.BODY,
+_ACTION_BY_ROUTE = {
+    ("GET", "/api/lots/"): JobAction.RESULTS,
+    ("DELETE", "/api/lots/"): JobAction.END,
+    ("GET", "/api/items/"): JobAction.BODY,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class AboutJob:
+class JobRequest:
     """A call about one job.
 
     Attributes
@@ -70,7 +70,7 @@
         Whose body is wanted.
     """
 
-    verb: Verb
+    action: JobAction
     job_id: JobId
     first: int
     wait_ms: int
@@ -94,20 +94,22 @@
         self._ledger = jobs.ledger
         self._store = jobs.store
         self._followers = followers
-        self._answer_by_verb = {
-            Verb.RESULTS: self._results,
-            Verb.BODY: self._body,
-            Verb.END: self._end,
+        self._handler_by_action = {
+            JobAction.RESULTS: self._results,
+            JobAction.BODY: self._body,
+            JobAction.END: self._end,
         }
 
-    def parse(self, method, path, query, headers) -> AboutJob | None:
+    def parse(self, method, path, query, headers) -> JobRequest | None:
         """Return the call about a job, or None if it is none."""
-        for (verb_method, prefix), verb in _VERB_BY_CALL.items():
-            if method == verb_method and path.startswith(prefix):
-                return self._about(verb, path[len(prefix) :], query, headers)
+        for (expected_method, prefix), action in _ACTION_BY_ROUTE.items():
+            if method == expected_method and path.startswith(prefix):
+                return self._parse_request(
+                    action, path[len(prefix) :], query, headers
+                )
         return None
 
-    def _about(self, verb, name, query, headers):
+    def _parse_request(self, action, name, query, headers):
         fields = parse_qs(query)
         first = fields.get("after", ["0"])[0]
         wait = headers.get(POLL_WAIT, "0")
@@ -115,30 +117,32 @@
             raise RequestError(
                 ErrorKind.BAD_REQUEST, "after and the wait are numbers"
             )
-        return AboutJob(
-            verb=verb,
+        return JobRequest(
+            action=action,
             job_id=JobId(unquote(name)),
             first=int(first),
-            wait_ms=min(int(wait), MOST_WAIT_MS),
+            wait_ms=min(int(wait), MAX_POLL_WAIT_MS),
             item_id=fields.get("id", [""])[0],
         )
 
     async def answer(
-        self, about: AboutJob, workspace: Workspace | None, exchange
+        self, job_request: JobRequest, workspace: Workspace | None, exchange
     ) -> None:
         """Answer a call about a job.
 
         To another workspace it is as if there were no such job. A job that
         belongs to nobody came without a key, and may be read without one.
         """
-        job = await self._ledger.find(about.job_id)
+        job = await self._ledger.find(job_request.job_id)
         if job is None:
-            raise _no_job()
+            raise _job_not_found()
         if job.workspace and self._node.requires_keys:
             self._node.require_key(workspace)
-            if job.workspace != _id_of(workspace):
-                raise _no_job()
-        await self._answer_by_verb[about.verb](job, about, exchange)
+            if job.workspace != _workspace_id(workspace):
+                raise _job_not_found()
+        await self._handler_by_action[job_request.action](
+            job, job_request, exchange
+        )
 
     async def submit(
         self,
@@ -157,7 +161,7 @@
             raise RequestError(
                 ErrorKind.STORE_UNAVAILABLE,
                 "this node is cut off from the store",
-                retry_after_ms=ELSEWHERE_MS,
+                retry_after_ms=RETRY_ELSEWHERE_MS,
             )
         items = tuple(each.item for each in decode_submission(body))
         digest = hashlib.blake2b(body, digest_size=8).hexdigest()
@@ -169,7 +173,7 @@
             payload=f"job-{job_id}-{digest}",
             accepted_ms=self._store.now_ms(),
             accepted_by=self._ledger.owner,
-            workspace=_id_of(workspace),
+            workspace=_workspace_id(workspace),
         )
         is_new = await self._ledger.accept(job, body, route.max_waiting_tokens)
         event = "job_accepted" if is_new else "job_repeated"
@@ -184,49 +188,49 @@
         )
         await exchange.whole(202, [], b"")
 
-    async def _results(self, job, about, exchange):
+    async def _results(self, job, job_request, exchange):
         node = self._node
-        until_ms = node.clock.now_ms() + about.wait_ms
+        until_ms = node.clock.now_ms() + job_request.wait_ms
         while True:
-            if len(self._view.progress(job).listed) > about.first:
+            if len(self._view.progress(job).listed) > job_request.first:
                 break
             left_ms = until_ms - node.clock.now_ms()
-            if left_ms <= 0 or not self._may_grow(job):
-                await self._make_sure(job)
+            if left_ms <= 0 or not self._is_open(job):
+                await self._refresh_if_stale(job)
                 break
             await self._view.wait(left_ms)
-        results = await self._ledger.results(job, about.first)
-        body = encode_results(len(job.items), about.first, results)
+        results = await self._ledger.results(job, job_request.first)
+        body = encode_results(len(job.items), job_request.first, results)
         await exchange.whole(200, _JSON, body)
 
-    def _may_grow(self, job):
+    def _is_open(self, job):
         known = self._view.job(job.job_id)
         return known is not None and known.state is JobState.OPEN
 
-    async def _make_sure(self, job):
+    async def _refresh_if_stale(self, job):
         """Read the progress itself unless the feeds are fresh."""
         now_ms = self._node.clock.now_ms()
         heard = [follower.heard_ms for follower in self._followers]
-        if any(h is None or now_ms - h > FRESH_MS for h in heard):
+        if any(h is None or now_ms - h > FEED_FRESHNESS_MS for h in heard):
             await self._ledger.refresh_progress(job)
 
-    async def _body(self, job, about, exchange):
+    async def _body(self, job, job_request, exchange):
         payload = await self._ledger.payload(job)
         for each in decode_submission(payload):
-            if each.item.item_id == about.item_id:
+            if each.item.item_id == job_request.item_id:
                 await exchange.whole(200, [], each.body)
                 return
         raise RequestError(ErrorKind.NOT_FOUND, "the job has no such item")
 
-    async def _end(self, job, about, exchange):
+    async def _end(self, job, job_request, exchange):
         await self._ledger.set_state(job.job_id, JobState.ENDED)
         self._node.log.info("job_ended", job_id=job.job_id)
         await exchange.whole(200, [], b"")
 
 
-def _id_of(workspace):
+def _workspace_id(workspace):
     return workspace.workspace_id if workspace else WorkspaceId("")
 
 
-def _no_job():
+def _job_not_found():
     return RequestError(ErrorKind.NOT_FOUND, "there is no such job")
--- a/dahliashunt/platform/job_parts.py
+++ b/dahliashunt/platform/job_parts.py
@@ -17,12 +17,12 @@
 from dahliashunt.jobs.view import JobView
 from dahliashunt.jobs.worker import JobWorker
 from dahliashunt.platform.dialect import PlatformDialect
-from dahliashunt.platform.job_bodies import JobBodies
+from dahliashunt.platform.job_bodies import PlatformPayloadReader
 from dahliashunt.platform.store import PlatformStore
 
 __all__ = ["JobParts"]
 
-HAND_OVER_RETRY_MS = 300
+HANDOVER_RETRY_MS = 300
 """Between tries to save while the store does not answer a leaving node."""
 
 
@@ -76,7 +76,7 @@
             places,
             pool,
             PlatformDialect(),
-            JobBodies(),
+            PlatformPayloadReader(),
             self.partials,
             self.store.now_ms,
         )
@@ -137,8 +137,8 @@
         """
         clock = self._node.clock
         while not await self._checkpoints.save():
-            if clock.now_ms() + HAND_OVER_RETRY_MS >= until_ms:
+            if clock.now_ms() + HANDOVER_RETRY_MS >= until_ms:
                 break
-            await clock.sleep_ms(HAND_OVER_RETRY_MS)
+            await clock.sleep_ms(HANDOVER_RETRY_MS)
         self._worker.leave()
         await self._takeover.leave()
--- a/dahliashunt/platform/standins/replica.py
+++ b/dahliashunt/platform/standins/replica.py
@@ -149,11 +149,11 @@
             self.arrivals.append(arrival)
             self.running += 1
             try:
-                kept = await self._run(arrival, reader, writer)
+                keep_alive = await self._run(arrival, reader, writer)
             finally:
                 self.running -= 1
             arrival.ended = True
-            if not kept:
+            if not keep_alive:
                 writer.transport.abort()
                 return
             connection = h11.Connection(h11.SERVER)
@@ -170,17 +170,17 @@
         expected = arrival.headers.get(EXPECTED_REPLICA, self.replica_id)
         if expected != self.replica_id:
             step = Step(status=421, not_run=True, body=b"")
-        left = asyncio.create_task(reader.read(1))
+        closed = asyncio.create_task(reader.read(1))
         answer = asyncio.create_task(self._answer(arrival, step, writer))
-        await asyncio.wait({left, answer}, return_when="FIRST_COMPLETED")
+        await asyncio.wait({closed, answer}, return_when="FIRST_COMPLETED")
         if not answer.done():
             # The caller closed the connection: the work stops.
             answer.cancel()
-            await asyncio.gather(left, answer, return_exceptions=True)
+            await asyncio.gather(closed, answer, return_exceptions=True)
             return False
-        left.cancel()
+        closed.cancel()
         # A reset by the caller is the end of its connection, no more.
-        await asyncio.gather(left, return_exceptions=True)
+        await asyncio.gather(closed, return_exceptions=True)
         return answer.result()
 
     async def _answer(self, arrival, step, writer):
@@ -197,12 +197,12 @@
             await writer.drain()
             return True
         first = int(arrival.headers.get(LAST_EVENT, "0")) + 1
-        for made, number in enumerate(range(first, step.events + 1)):
-            if step.cut_after is not None and made >= step.cut_after:
+        for sent, number in enumerate(range(first, step.events + 1)):
+            if step.cut_after is not None and sent >= step.cut_after:
                 writer.write(_chunk(b"id: %d\ndata: cu" % number))
                 await writer.drain()
                 return False
-            if step.silent_after is not None and made >= step.silent_after:
+            if step.silent_after is not None and sent >= step.silent_after:
                 await asyncio.Event().wait()
             writer.write(_chunk(_event(number)))
             await writer.drain()
--- a/dahliashunt/platform/standins/store.py
+++ b/dahliashunt/platform/standins/store.py
@@ -13,8 +13,8 @@
 
 __all__ = ["StoreStandin", "Trouble"]
 
-MOST_ROWS = 500
-MOST_ENTRIES = 100
+MAX_PAGE_ROWS = 500
+MAX_TRANSACTION_ROWS = 100
 
 
 @dataclass
@@ -132,9 +132,9 @@
     def _write(self, name, value):
         rows = self._rows
         rows.version += 1
-        self._note(name, value)
+        self._apply(name, value)
 
-    def _note(self, name, value):
+    def _apply(self, name, value):
         rows = self._rows
         if value is None:
             rows.by_key.pop(name, None)
@@ -185,11 +185,11 @@
         if path == "/api/rows-tx":
             answer = self._transact(json.loads(body))
         elif path == "/api/rows-get":
-            answer = self._get(fields)
+            answer = self._handle_get(fields)
         elif path == "/api/rows-feed":
-            answer = await self._feed(fields)
+            answer = await self._handle_feed(fields)
         else:
-            answer = self._object(scope["method"], path, body)
+            answer = self._handle_object(scope["method"], path, body)
         is_write = scope["method"] != "GET"
         if is_write and trouble.lose_answers > 0:
             trouble.lose_answers -= 1
@@ -197,30 +197,33 @@
         return answer
 
     def _refuses_write(self):
-        left = self.trouble.refuse_writes_after
-        if left is None:
+        remaining = self.trouble.refuse_writes_after
+        if remaining is None:
             return False
-        self.trouble.refuse_writes_after = max(0, left - 1)
-        return left == 0
+        self.trouble.refuse_writes_after = max(0, remaining - 1)
+        return remaining == 0
 
     def _transact(self, call):
-        writes, removes = call.get("writes", ()), call.get("remove", ())
+        writes, removals = call.get("writes", ()), call.get("remove", ())
         conditions = call.get("if-rev", ())
-        named = [*writes, *removes, *conditions]
-        if len(named) > MOST_ENTRIES or len({w["part"] for w in named}) > 1:
+        targets = [*writes, *removals, *conditions]
+        if (
+            len(targets) > MAX_TRANSACTION_ROWS
+            or len({w["part"] for w in targets}) > 1
+        ):
             return 400, b""
         for each in conditions:
-            held = self._rows.by_key.get(_name(each))
-            if (held[1] if held else 0) != each["ver"]:
-                return 412, self._body(self._current(conditions))
+            stored = self._rows.by_key.get(_name(each))
+            if (stored[1] if stored else 0) != each["ver"]:
+                return 412, self._body(self._current_rows(conditions))
         self._rows.version += 1
         for each in writes:
-            self._note(_name(each), each["value"])
-        for each in removes:
-            self._note(_name(each), None)
+            self._apply(_name(each), each["value"])
+        for each in removals:
+            self._apply(_name(each), None)
         return 200, self._body(None)
 
-    def _current(self, conditions):
+    def _current_rows(self, conditions):
         by_key = self._rows.by_key
         names = [_name(each) for each in conditions]
         return [_row(n, *by_key[n]) for n in names if n in by_key]
@@ -231,20 +234,20 @@
             fields["rows"] = rows
         return json.dumps(fields).encode()
 
-    def _get(self, fields):
+    def _handle_get(self, fields):
         first, last = fields.get("from", ""), fields.get("to")
         found = sorted(
-            (name, held)
-            for name, held in self._rows.by_key.items()
+            (name, stored)
+            for name, stored in self._rows.by_key.items()
             if name[:2] == (fields["table"], fields.get("part", ""))
             and name[2] >= first
             and (last is None or name[2] < last)
         )
-        limit = min(int(fields.get("limit", MOST_ROWS)), MOST_ROWS)
-        rows = [_row(name, *held) for name, held in found[:limit]]
+        limit = min(int(fields.get("limit", MAX_PAGE_ROWS)), MAX_PAGE_ROWS)
+        rows = [_row(name, *stored) for name, stored in found[:limit]]
         return 200, self._body(rows, truncated=len(found) > limit)
 
-    async def _feed(self, fields):
+    async def _handle_feed(self, fields):
         after, table = int(fields["after"]), fields["table"]
         until_s = time.monotonic() + int(fields.get("wait-ms", 0)) / 1000
         while True:
@@ -264,7 +267,7 @@
             except TimeoutError:
                 continue
 
-    def _object(self, method, path, body):
+    def _handle_object(self, method, path, body):
         call, _, name = path.removeprefix("/api/").partition("/")
         name = unquote(name)
         if call == "blob-put":
--- a/dahliashunt/platform/store.py
+++ b/dahliashunt/platform/store.py
@@ -28,27 +28,25 @@
 
 __all__ = ["PlatformStore"]
 
-WRITE_MS = 1_000
+WRITE_TIMEOUT_MS = 1_000
 """Longest wait for a write's answer. The store takes some 10 ms, slowed by
 a factor of 60 some 500; a write without answer has to be settled, so that
 giving up early costs more than waiting."""
 
-READ_MS = (150, 700)
-"""Bounds of the wait for a read's answer, which is `READ_TIMES` what reads
-took lately. A cut is silent: a job that is submitted at a node that was
-cut off must be refused while its caller can still be in time elsewhere,
-and the bound grows at once when the store is slow."""
+READ_TIMEOUT_BOUNDS_MS = (150, 700)
+"""Bounds of a read's timeout, which is `READ_TIMEOUT_FACTOR` times the
+moving average of latency."""
 
-READ_TIMES = 10
-USUAL_MS = 5.0
-USUAL_WEIGHT = 0.2
+READ_TIMEOUT_FACTOR = 10
+INITIAL_LATENCY_MS = 5.0
+LATENCY_EWMA_WEIGHT = 0.2
 
-PAGE_ROWS = 500
+MAX_PAGE_ROWS = 500
 """Most rows that the store returns at once."""
 
-_REFUSED = (429, 503)
+_REFUSED_STATUSES = (429, 503)
 
-OBJECTS = "objects"
+OBJECTS_LABEL = "objects"
 """Stands for the table in the count of calls about objects."""
 
 
@@ -82,7 +80,7 @@
         self._clock = clock
         self._metrics = metrics
         self._clock_offset_ms = 0
-        self._usual_ms = USUAL_MS
+        self._latency_ms = INITIAL_LATENCY_MS
 
     def now_ms(self) -> int:
         """Return the store's steady clock, as of its last answer.
@@ -103,11 +101,11 @@
         self, start: str, end: str, limit: int
     ) -> tuple[Row, ...]:
         """Return rows with ``start <= key < end``, all of one part."""
-        table, part, first = _split(start)
+        table, part, first = _split_key(start)
         rows = []
         while len(rows) < limit:
             page = await self._page(
-                table, part, first, _split(end)[2], limit - len(rows)
+                table, part, first, _split_key(end)[2], limit - len(rows)
             )
             rows += [_row(each) for each in page["rows"]]
             if not page.get("truncated") or not page["rows"]:
@@ -117,7 +115,7 @@
 
     async def _page(self, table, part, first, last, limit):
         query = {"table": table, "part": part}
-        query["limit"] = min(limit, PAGE_ROWS)
+        query["limit"] = min(limit, MAX_PAGE_ROWS)
         self._count("get", table)
         if first:
             query["from"] = first
@@ -127,13 +125,13 @@
 
     async def transact(self, writes: tuple[Write, ...]) -> tuple[int, ...]:
         """Apply all `writes`, which name rows of one part, or none."""
-        self._count("transact", _split(writes[0].key)[0])
-        body = json.dumps(_transaction(writes)).encode()
+        self._count("transact", _split_key(writes[0].key)[0])
+        body = json.dumps(_encode_transaction(writes)).encode()
         reply = await self._write("POST", "/api/rows-tx", body)
         if reply.status == 412:
             rows = tuple(_row(each) for each in reply.json()["rows"])
             raise TransactionConflict(tuple(r.key for r in rows), rows)
-        version = self._decoded(reply)["ver"]
+        version = self._decode(reply)["ver"]
         return tuple(0 if each.value is None else version for each in writes)
 
     # Feed.
@@ -143,11 +141,11 @@
 
         A row is never older than the version returned.
         """
-        table, part, first = _split(prefix)
+        table, part, first = _split_key(prefix)
         rows = []
         version = None
         while True:
-            page = await self._page(table, part, first, "", PAGE_ROWS)
+            page = await self._page(table, part, first, "", MAX_PAGE_ROWS)
             rows += [_row(each) for each in page["rows"]]
             # The first page's version: what changes between two pages
             # comes again with the changes after it.
@@ -176,13 +174,13 @@
 
     async def put(self, name: str, data: bytes) -> None:
         """Store `data` under `name`; a repeat of the same is harmless."""
-        self._count("put", OBJECTS)
+        self._count("put", OBJECTS_LABEL)
         path = f"/api/blob-put/{quote(name, safe='')}"
-        self._decoded(await self._write("PUT", path, data))
+        self._decode(await self._write("PUT", path, data))
 
     async def get(self, name: str) -> bytes | None:
         """Return the object named `name`, or None."""
-        self._count("get", OBJECTS)
+        self._count("get", OBJECTS_LABEL)
         path = f"/api/blob-get/{quote(name, safe='')}"
         reply = await self._call("GET", path, b"", 0)
         if reply is None:
@@ -195,11 +193,11 @@
 
     async def delete(self, name: str) -> None:
         """Delete the object named `name`, if there is one."""
-        self._count("drop", OBJECTS)
+        self._count("drop", OBJECTS_LABEL)
         path = f"/api/blob-drop/{quote(name, safe='')}"
         reply = await self._write("DELETE", path, b"")
         if reply.status != 404:
-            self._decoded(reply)
+            self._decode(reply)
 
     # Calls.
 
@@ -213,9 +211,9 @@
             raise PlatformUnavailable(f"no answer to GET {path}")
         if reply.status == 410:
             raise HistoryLost(f"410 to GET {path}")
-        return self._decoded(reply)
+        return self._decode(reply)
 
-    def _decoded(self, reply):
+    def _decode(self, reply):
         if reply.status not in (200, 201, 204):
             raise PlatformUnavailable(f"the store answered {reply.status}")
         if not reply.body:
@@ -233,7 +231,7 @@
         reply = await self._call(method, target, body, 0)
         if reply is None:
             raise WriteOutcomeUnknown(f"no answer to {method} {target}")
-        if reply.status in _REFUSED:
+        if reply.status in _REFUSED_STATUSES:
             raise PlatformUnavailable(f"the store answered {reply.status}")
         return reply
 
@@ -249,11 +247,11 @@
         if body:
             headers.append(("Content-Type", _content_type(method)))
         request = encode_request(method, target, headers, body)
-        limit_ms = self._limit_ms(method)
+        timeout_ms = self._timeout_ms(method)
         sent_ms = self._clock.now_ms()
         try:
             answer = await exchange_whole(
-                connection, request, self._clock, limit_ms + wait_ms
+                connection, request, self._clock, timeout_ms + wait_ms
             )
         except BaseException:
             # Cancelled between request and answer: what comes late must
@@ -262,25 +260,25 @@
             raise
         self._pool.give_back(address, connection)
         if not wait_ms:
-            self._learn(self._clock.now_ms() - sent_ms)
+            self._update_latency(self._clock.now_ms() - sent_ms)
         if answer is None:
             return None
         return _Reply(answer.head.status, answer.body)
 
-    def _limit_ms(self, method):
+    def _timeout_ms(self, method):
         if method != "GET":
-            return WRITE_MS
-        least_ms, most_ms = READ_MS
-        limit_ms = READ_TIMES * self._usual_ms
-        return int(min(most_ms, max(least_ms, limit_ms)))
+            return WRITE_TIMEOUT_MS
+        min_ms, max_ms = READ_TIMEOUT_BOUNDS_MS
+        timeout_ms = READ_TIMEOUT_FACTOR * self._latency_ms
+        return int(min(max_ms, max(min_ms, timeout_ms)))
 
-    def _learn(self, took_ms):
+    def _update_latency(self, elapsed_ms):
         """Note how long a call took, with an answer or without."""
-        if took_ms > READ_TIMES * self._usual_ms:
-            self._usual_ms = took_ms
+        if elapsed_ms > READ_TIMEOUT_FACTOR * self._latency_ms:
+            self._latency_ms = elapsed_ms
         else:
-            change_ms = took_ms - self._usual_ms
-            self._usual_ms += USUAL_WEIGHT * change_ms
+            change_ms = elapsed_ms - self._latency_ms
+            self._latency_ms += LATENCY_EWMA_WEIGHT * change_ms
 
 
 def _content_type(method):
@@ -289,7 +287,7 @@
     return "application/json"
 
 
-def _split(key):
+def _split_key(key):
     table, _, rest = key.partition("/")
     part, _, key = rest.partition("/")
     return table, part, key
@@ -310,10 +308,10 @@
     return Row(_key(fields), text, fields["ver"])
 
 
-def _transaction(writes):
-    conditions, puts, removes = [], [], []
+def _encode_transaction(writes):
+    conditions, puts, removals = [], [], []
     for each in writes:
-        table, part, key = _split(each.key)
+        table, part, key = _split_key(each.key)
         name = {"table": table, "part": part, "key": key}
         if each.expect is not MustBe.ANY:
             version = 0 if each.expect is MustBe.ABSENT else each.expect
@@ -321,8 +319,8 @@
         if each.check_only:
             continue
         if each.value is None:
-            removes.append(name)
+            removals.append(name)
         else:
             value = base64.b64encode(each.value.encode()).decode()
             puts.append({**name, "value": value})
-    return {"if-rev": conditions, "writes": puts, "remove": removes}
+    return {"if-rev": conditions, "writes": puts, "remove": removals}
--- a/dahliashunt/platform/tests/test_job_handover.py
+++ b/dahliashunt/platform/tests/test_job_handover.py
@@ -15,7 +15,7 @@
 from dahliashunt.platform.tests.test_jobs import submit
 
 EVENTS = 40
-MADE = 25
+EVENTS_BEFORE_STALL = 25
 """Events that an item's first owner gets before its replica pauses."""
 
 
@@ -23,13 +23,13 @@
     return [name for name in p.store.names() if name[0] == "partials"]
 
 
-def keep_partial(p, job, index, value):
+def put_partial(p, job, index, value):
     p.store.put("partials", f"{job}/{index:05d}", value, str(shard_of(job)))
 
 
-async def under_way(p):
+async def start_item(p):
     """Submit a job of one item; return once a part of it was saved."""
-    p.replicas[0].then(events=EVENTS, silent_after=MADE)
+    p.replicas[0].then(events=EVENTS, silent_after=EVENTS_BEFORE_STALL)
     assert (await submit(p, body=job_body("a"))).status == 202
     await p.until(lambda: partial_rows(p))
     p.replicas[0].steps.clear()
@@ -42,12 +42,12 @@
     # whole lot came late.
     async def scenario(p):
         other = await p.add_entry()
-        await under_way(p)
+        await start_item(p)
         await p.kill(p.entries[0])
         (result,) = await read_all(p, entry=other)
         assert result["output"] == output(EVENTS)
         last = p.replicas[0].arrivals[-1]
-        assert last.headers["last-event-id"] == str(MADE)
+        assert last.headers["last-event-id"] == str(EVENTS_BEFORE_STALL)
 
     platform(scenario, ROUTE)
 
@@ -57,12 +57,12 @@
     # until it was killed, and the others found out by its silence.
     async def scenario(p):
         leaving, other = p.entries[0], await p.add_entry()
-        await under_way(p)
+        await start_item(p)
         leave = asyncio.create_task(leaving.leave())
         (result,) = await read_all(p, entry=other)
         assert result["output"] == output(EVENTS)
         last = p.replicas[0].arrivals[-1]
-        assert last.headers["last-event-id"] == str(MADE)
+        assert last.headers["last-event-id"] == str(EVENTS_BEFORE_STALL)
         assert not leaving.jobs.unfinished
         await leave
 
@@ -74,7 +74,9 @@
     # with the items, which stood still until it was back.
     async def scenario(p):
         leaving, other = p.entries[0], await p.add_entry()
-        replica = p.replicas[0].then(events=EVENTS, silent_after=MADE)
+        replica = p.replicas[0].then(
+            events=EVENTS, silent_after=EVENTS_BEFORE_STALL
+        )
         assert (await submit(p, body=job_body("a"))).status == 202
         await p.until(lambda: replica.running)
         p.store.trouble.status = 503
@@ -100,7 +102,7 @@
         assert (await submit(p)).status == 202
         first = (await read(p)).json()["results"]
         listed = 0 if first[0]["id"] == "a" else 1
-        keep_partial(p, "j1", listed, [1, "text 1"])
+        put_partial(p, "j1", listed, [1, "text 1"])
         await p.until(lambda: len(replica.arrivals) == 2)
         await p.kill(p.entries[0])
         replica.steps.clear()
@@ -121,7 +123,7 @@
         other = await p.add_entry()
         assert (await submit(p, body=job_body("a"))).status == 202
         await p.until(lambda: p.replicas[0].arrivals)
-        keep_partial(p, "j1", 0, value)
+        put_partial(p, "j1", 0, value)
         await p.kill(p.entries[0])
         p.replicas[0].steps.clear()
         p.replicas[0].then(events=3)
@@ -133,7 +135,7 @@
 
 def test_what_was_kept_goes_when_its_item_is_listed(platform):
     async def scenario(p):
-        await under_way(p)
+        await start_item(p)
         await read_all(p)
         assert partial_rows(p) == []
 
--- a/dahliashunt/platform/tests/test_jobs.py
+++ b/dahliashunt/platform/tests/test_jobs.py
@@ -15,10 +15,10 @@
 from dahliashunt.platform.standins.settings import route_fields
 from dahliashunt.platform.tests.conftest import free_port
 
-KEEP_MS = 120_000
+RETENTION_MS = 120_000
 """As the stand-in's settings say."""
 
-PARTS = "aa:10,bb:5"
+PROMPT_PARTS = "aa:10,bb:5"
 
 ROUTE = route_fields(
     **{
@@ -35,28 +35,30 @@
 
 def job_body(*names, tokens=100):
     items = [
-        JobItem(name, f"/j/{name}", tokens, f"body {name}".encode(), PARTS)
+        JobItem(
+            name, f"/j/{name}", tokens, f"body {name}".encode(), PROMPT_PARTS
+        )
         for name in names
     ]
     return encode_job(items)
 
 
-async def submit(p, job="j1", body=None, **how):
+async def submit(p, job="j1", body=None, **kwargs):
     body = body or job_body("a", "b")
-    return await p.call("POST", f"/j/{job}", body, request_id=job, **how)
+    return await p.call("POST", f"/j/{job}", body, request_id=job, **kwargs)
 
 
-async def read(p, job="j1", after=0, **how):
+async def read(p, job="j1", after=0, **kwargs):
     target = results_target(job, after)
-    return await p.call("GET", target, wait_ms=1000, **how)
+    return await p.call("GET", target, wait_ms=1000, **kwargs)
 
 
-async def read_all(p, job="j1", **how):
+async def read_all(p, job="j1", **kwargs):
     """Read until every result is there; return them in order."""
     results = []
     async with asyncio.timeout(20):
         while True:
-            answer = await read(p, job, len(results), **how)
+            answer = await read(p, job, len(results), **kwargs)
             assert answer.status == 200
             page = answer.json()
             results += page["results"]
@@ -385,7 +387,9 @@
         await read_all(p)
         jobs = p.entries[0].jobs
         kept_until_ms = (
-            jobs.view.jobs()[0].accepted_ms + KEEP_MS + RETENTION_MARGIN_MS
+            jobs.view.jobs()[0].accepted_ms
+            + RETENTION_MS
+            + RETENTION_MARGIN_MS
         )
         # Both have heard that it is closed: news of jobs is gathered.
         for entry in p.entries:
@@ -425,7 +429,10 @@
         jobs = p.entries[0].jobs
         await p.until(lambda: jobs.view.jobs()[0].state is not JobState.OPEN)
         later_ms = (
-            jobs.view.jobs()[0].accepted_ms + KEEP_MS + RETENTION_MARGIN_MS + 1
+            jobs.view.jobs()[0].accepted_ms
+            + RETENTION_MS
+            + RETENTION_MARGIN_MS
+            + 1
         )
         p.store.trouble.refuse_writes_after = 2
         await jobs.expiry.look(later_ms)
--- a/dahliashunt/platform/tests/test_keys.py
+++ b/dahliashunt/platform/tests/test_keys.py
@@ -15,10 +15,10 @@
 from dahliashunt.platform.tests.test_jobs import ROUTE as JOB_ROUTE
 from dahliashunt.platform.tests.test_jobs import submit
 
-OURS = "Token k-ours"
-OUR_SECOND = "token k-ours-2"
-THEIRS = "Token k-theirs"
-NAME = "dahliashunt-tenant"
+OUR_KEY = "Token k-ours"
+OUR_SECOND_KEY = "token k-ours-2"
+THEIR_KEY = "Token k-theirs"
+WORKSPACE_HEADER = "dahliashunt-tenant"
 
 WORKSPACES = (
     workspace_fields("ours", "k-ours", "k-ours-2"),
@@ -33,14 +33,14 @@
 
 
 @pytest.fixture
-def keyed(platform):
-    """Return ``play(scenario)`` with callers who need keys."""
+def run_with_keys(platform):
+    """Return ``run(scenario)`` with callers who need keys."""
 
-    def play(scenario, workspaces=WORKSPACES, **how):
+    def run(scenario, workspaces=WORKSPACES, **kwargs):
         config = config_fields(ROUTES, engine=False, workspaces=workspaces)
-        return platform(scenario, config=config, **how)
+        return platform(scenario, config=config, **kwargs)
 
-    return play
+    return run
 
 
 def reconfigure(p, *workspaces):
@@ -51,28 +51,28 @@
     return lambda: all(e.node.catalog.revision == 2 for e in p.entries)
 
 
-def seen(p):
+def received_requests(p):
     return [a for r in p.replicas for a in r.arrivals]
 
 
-def test_a_replica_is_told_the_workspace_and_never_the_key(keyed):
+def test_a_replica_is_told_the_workspace_and_never_the_key(run_with_keys):
     """Guards against a replica that learns keys or believes a caller."""
 
     async def scenario(p):
-        answer = await p.call(authorization=OUR_SECOND, workspace="theirs")
+        answer = await p.call(authorization=OUR_SECOND_KEY, workspace="theirs")
         assert answer.status == 200
-        (arrival,) = seen(p)
-        assert arrival.headers[NAME] == "ours"
+        (arrival,) = received_requests(p)
+        assert arrival.headers[WORKSPACE_HEADER] == "ours"
         assert "authorization" not in arrival.headers
 
-    keyed(scenario)
+    run_with_keys(scenario)
 
 
 @pytest.mark.parametrize(
     "headers",
     [{}, {"authorization": "Token no"}, {"authorization": "Bearer k-ours"}],
 )
-def test_an_unknown_key_is_refused_with_a_challenge(keyed, headers):
+def test_an_unknown_key_is_refused_with_a_challenge(run_with_keys, headers):
     """Guards against a stranger's request that runs."""
 
     async def scenario(p):
@@ -81,12 +81,12 @@
             assert answer.status == 401
             assert answer.head.get("www-authenticate") == "Token"
             assert answer.head.get("retry-after") is None
-        assert seen(p) == []
+        assert received_requests(p) == []
 
-    keyed(scenario)
+    run_with_keys(scenario)
 
 
-def test_a_public_route_needs_no_key(keyed):
+def test_a_public_route_needs_no_key(run_with_keys):
     """Guards against a public route that asks for keys or passes them."""
 
     async def scenario(p):
@@ -94,12 +94,19 @@
         assert (
             await p.call(target="/o/2", authorization="Token no")
         ).status == 200
-        assert (await p.call(target="/o/3", authorization=OURS)).status == 200
-        names = [arrival.headers.get(NAME) for arrival in seen(p)]
+        assert (
+            await p.call(target="/o/3", authorization=OUR_KEY)
+        ).status == 200
+        names = [
+            arrival.headers.get(WORKSPACE_HEADER)
+            for arrival in received_requests(p)
+        ]
         assert names == [None, None, "ours"]
-        assert all("authorization" not in a.headers for a in seen(p))
+        assert all(
+            "authorization" not in a.headers for a in received_requests(p)
+        )
 
-    keyed(scenario)
+    run_with_keys(scenario)
 
 
 def test_without_workspaces_no_key_is_asked_for(platform):
@@ -108,51 +115,56 @@
     async def scenario(p):
         answer = await p.call(authorization="Basic abc", workspace="x")
         assert answer.status == 200
-        (arrival,) = seen(p)
+        (arrival,) = received_requests(p)
         assert arrival.headers["authorization"] == "Basic abc"
-        assert NAME not in arrival.headers
+        assert WORKSPACE_HEADER not in arrival.headers
 
     platform(scenario, ROUTES[0])
 
 
-def test_a_resumed_stream_runs_for_the_same_workspace(keyed):
+def test_a_resumed_stream_runs_for_the_same_workspace(run_with_keys):
     """Guards against a second attempt without the workspace's name."""
 
     async def scenario(p):
         for replica in p.replicas:
             replica.then(events=6, cut_after=3).then(events=6)
-        answer = await p.call(target="/s/x", authorization=THEIRS)
+        answer = await p.call(target="/s/x", authorization=THEIR_KEY)
         assert answer.whole
-        assert [a.headers[NAME] for a in seen(p)] == ["theirs", "theirs"]
-        assert all("authorization" not in a.headers for a in seen(p))
+        assert [a.headers[WORKSPACE_HEADER] for a in received_requests(p)] == [
+            "theirs",
+            "theirs",
+        ]
+        assert all(
+            "authorization" not in a.headers for a in received_requests(p)
+        )
 
-    keyed(scenario, replicas=2)
+    run_with_keys(scenario, replicas=2)
 
 
-def test_a_key_taken_away_stops_requests_on_open_connections(keyed):
+def test_a_key_taken_away_stops_requests_on_open_connections(run_with_keys):
     """Guards against keys that live on with their connections."""
 
     async def scenario(p):
-        assert (await p.call(authorization=OURS)).status == 200
+        assert (await p.call(authorization=OUR_KEY)).status == 200
         theirs = WORKSPACES[1]
         kept = workspace_fields("ours", "k-ours-2")
         moved = workspace_fields("theirs", "k-theirs", "k-ours")
         await p.until(reconfigure(p, kept, theirs))
-        assert (await p.call(authorization=OURS)).status == 401
-        assert (await p.call(authorization=OUR_SECOND)).status == 200
+        assert (await p.call(authorization=OUR_KEY)).status == 401
+        assert (await p.call(authorization=OUR_SECOND_KEY)).status == 200
         p.store.configure(
             config_fields(
                 ROUTES, version=3, engine=False, workspaces=(kept, moved)
             )
         )
         await p.until(lambda: p.entries[0].node.catalog.revision == 3)
-        assert (await p.call(authorization=OURS)).status == 200
-        assert seen(p)[-1].headers[NAME] == "theirs"
+        assert (await p.call(authorization=OUR_KEY)).status == 200
+        assert received_requests(p)[-1].headers[WORKSPACE_HEADER] == "theirs"
 
-    keyed(scenario)
+    run_with_keys(scenario)
 
 
-def test_without_a_configuration_nobody_is_called_a_stranger(keyed):
+def test_without_a_configuration_nobody_is_called_a_stranger(run_with_keys):
     """Guards against a final refusal by an entry that has just started."""
 
     async def scenario(p):
@@ -167,105 +179,109 @@
         assert answer.status == 503
         node.catalog = catalog
 
-    keyed(scenario)
+    run_with_keys(scenario)
 
 
-def test_an_entry_without_the_store_calls_nobody_a_stranger(keyed):
+def test_an_entry_without_the_store_calls_nobody_a_stranger(run_with_keys):
     """Guards against 401 for a key that a newer revision added."""
 
     async def scenario(p):
         p.entries[0].node.config_read_ms = lambda: None
         assert (await p.call(authorization="Token new")).status == 503
-        assert (await p.call(authorization=OURS)).status == 200
+        assert (await p.call(authorization=OUR_KEY)).status == 200
 
-    keyed(scenario)
+    run_with_keys(scenario)
 
 
-def test_an_unreadable_workspace_harms_only_itself(keyed):
+def test_an_unreadable_workspace_harms_only_itself(run_with_keys):
     """Guards against one broken entry that locks out everybody."""
     broken = workspace_fields("bad", "k-bad", **{"rate-per-s": "many"})
     no_keys = {"name": "worse", "api-keys": 7}
 
     async def scenario(p):
-        assert (await p.call(authorization=OURS)).status == 200
+        assert (await p.call(authorization=OUR_KEY)).status == 200
         assert (await p.call(authorization="Token k-bad")).status == 503
         assert (await p.call(authorization="Token no")).status == 503
         await p.until(reconfigure(p, *WORKSPACES, broken))
         assert (await p.call(authorization="Token k-bad")).status == 503
         assert (await p.call(authorization="Token no")).status == 401
 
-    keyed(scenario, workspaces=(*WORKSPACES, broken, no_keys, "k-odd"))
+    run_with_keys(scenario, workspaces=(*WORKSPACES, broken, no_keys, "k-odd"))
 
 
-def test_a_job_is_its_workspaces_alone(keyed):
+def test_a_job_is_its_workspaces_alone(run_with_keys):
     """Guards against a job that another workspace reads or ends."""
 
     async def scenario(p):
         p.replicas[0].then(events=2)
-        assert (await submit(p, authorization=OURS)).status == 202
-        await read_all(p, authorization=OURS)
+        assert (await submit(p, authorization=OUR_KEY)).status == 202
+        await read_all(p, authorization=OUR_KEY)
         for target in ("/api/lots/j1", "/api/items/j1?id=a"):
-            answer = await p.call("GET", target, authorization=THEIRS)
+            answer = await p.call("GET", target, authorization=THEIR_KEY)
             assert answer.status == 404
             assert (await p.call("GET", target)).status == 401
-        ended = await p.call("DELETE", "/api/lots/j1", authorization=THEIRS)
+        ended = await p.call("DELETE", "/api/lots/j1", authorization=THEIR_KEY)
         assert ended.status == 404
         kept = workspace_fields("ours", "k-new")
         await p.until(reconfigure(p, kept, WORKSPACES[1]))
-        assert (await read(p, authorization=OURS)).status == 401
+        assert (await read(p, authorization=OUR_KEY)).status == 401
         answer = await read(p, authorization="Token k-new")
         assert len(answer.json()["results"]) == 2
-        arrivals = [a for a in seen(p) if a.target.startswith("/j/")]
-        assert {a.headers[NAME] for a in arrivals} == {"ours"}
+        arrivals = [
+            a for a in received_requests(p) if a.target.startswith("/j/")
+        ]
+        assert {a.headers[WORKSPACE_HEADER] for a in arrivals} == {"ours"}
 
-    keyed(scenario)
+    run_with_keys(scenario)
 
 
-def test_an_items_own_headers_name_no_workspace(keyed):
+def test_an_items_own_headers_name_no_workspace(run_with_keys):
     """Guards against a submitter that runs items in another's name."""
-    forged = {"Dahliashunt-Tenant": "theirs", "Authorization": THEIRS}
+    forged = {"Dahliashunt-Tenant": "theirs", "Authorization": THEIR_KEY}
     fields = json.loads(job_body("a"))
     fields["requests"][0]["headers"].update(forged)
 
     async def scenario(p):
         p.replicas[0].then(events=1)
         body = json.dumps(fields).encode()
-        await submit(p, body=body, authorization=OURS)
-        await read_all(p, authorization=OURS)
-        (arrival,) = [a for a in seen(p) if a.request_id == "a"]
-        assert arrival.headers[NAME] == "ours"
+        await submit(p, body=body, authorization=OUR_KEY)
+        await read_all(p, authorization=OUR_KEY)
+        (arrival,) = [a for a in received_requests(p) if a.request_id == "a"]
+        assert arrival.headers[WORKSPACE_HEADER] == "ours"
         assert "authorization" not in arrival.headers
 
-    keyed(scenario)
+    run_with_keys(scenario)
 
 
-def test_waiting_tokens_are_capped_for_each_workspace(keyed):
+def test_waiting_tokens_are_capped_for_each_workspace(run_with_keys):
     """Guards against one workspace's jobs that shut out the others'."""
 
     async def scenario(p):
         p.replicas[0].then(events=1, gap_ms=60_000)
         full = job_body(*(f"i{n}" for n in range(10)))
-        assert (await submit(p, "j1", full, authorization=OURS)).status == 202
-        refused = await submit(p, "j2", authorization=OUR_SECOND)
+        assert (
+            await submit(p, "j1", full, authorization=OUR_KEY)
+        ).status == 202
+        refused = await submit(p, "j2", authorization=OUR_SECOND_KEY)
         assert refused.status == 429
         assert float(refused.head.get("retry-after")) > 0
-        assert (await submit(p, "j3", authorization=THEIRS)).status == 202
-        ended = await p.call("DELETE", "/api/lots/j1", authorization=OURS)
+        assert (await submit(p, "j3", authorization=THEIR_KEY)).status == 202
+        ended = await p.call("DELETE", "/api/lots/j1", authorization=OUR_KEY)
         assert ended.status == 200
-        assert (await submit(p, "j2", authorization=OURS)).status == 202
+        assert (await submit(p, "j2", authorization=OUR_KEY)).status == 202
 
-    keyed(scenario)
+    run_with_keys(scenario)
 
 
-def test_no_key_is_ever_written_anywhere(keyed):
+def test_no_key_is_ever_written_anywhere(run_with_keys):
     """Guards against keys in logs, metrics, pages and error texts."""
 
     async def scenario(p):
         answers = [
             await p.call(authorization="Token k-nobody"),
-            await p.call(authorization=OURS),
-            await submit(p, authorization=OURS),
-            await p.call(target="/none/", authorization=OURS),
+            await p.call(authorization=OUR_KEY),
+            await submit(p, authorization=OUR_KEY),
+            await p.call(target="/none/", authorization=OUR_KEY),
         ]
         entry = p.entries[0]
         texts = [a.body.decode("latin-1") for a in answers]
@@ -280,7 +296,7 @@
 
     odd = {"name": "odd", "api-keys": ["k-odd"], "priority": "k-mixed-up"}
     with capture_logs() as lines:
-        texts = keyed(scenario, workspaces=(*WORKSPACES, odd))
+        texts = run_with_keys(scenario, workspaces=(*WORKSPACES, odd))
     texts += [repr(line) for line in lines]
     for key in ("k-ours", "k-theirs", "k-nobody", "k-odd", "k-mixed-up"):
         assert not [text for text in texts if key in text], key
--- a/dahliashunt/platform/tests/test_limits.py
+++ b/dahliashunt/platform/tests/test_limits.py
@@ -20,16 +20,16 @@
 
 
 @pytest.fixture
-def limited(platform):
-    """Return ``play(scenario)`` with two workspaces, one of them limited."""
+def run_limited(platform):
+    """Return ``run(scenario)`` with two workspaces, one of them limited."""
 
-    def play(scenario, engine=True):
+    def run(scenario, engine=True):
         config = config_fields(
             ROUTES, engine=engine, workspaces=(LIMITED, FREE)
         )
         return platform(scenario, config=config)
 
-    return play
+    return run
 
 
 async def with_agent(p, scenario):
@@ -55,11 +55,11 @@
     return await asyncio.gather(*calls)
 
 
-def test_beyond_its_burst_a_workspace_is_told_when_to_come_back(limited):
+def test_beyond_its_burst_a_workspace_is_told_when_to_come_back(run_limited):
     """Guards against a hot workspace that takes what others need."""
 
     async def scenario(p):
-        async def hot(server):
+        async def burst(server):
             answers = await send(p, 9)
             refused = [a for a in answers if a.status == 429]
             assert sum(a.status == 200 for a in answers) == 3
@@ -69,12 +69,12 @@
             assert len({round(wait) for wait in waits}) > 3
             assert len(p.replicas[0].arrivals) == 3
 
-        await with_agent(p, hot)
+        await with_agent(p, burst)
 
-    limited(scenario)
+    run_limited(scenario)
 
 
-def test_a_workspace_without_a_rate_is_not_limited(limited):
+def test_a_workspace_without_a_rate_is_not_limited(run_limited):
     """Guards against a limit of 0 that shuts its workspace out."""
 
     async def scenario(p):
@@ -82,10 +82,10 @@
             (answer,) = await send(p, 1, "Token f")
             assert answer.status == 200, number
 
-    limited(scenario)
+    run_limited(scenario)
 
 
-def test_without_any_agent_an_entry_goes_by_its_share(limited):
+def test_without_any_agent_an_entry_goes_by_its_share(run_limited):
     """Guards against callers that wait for meters that don't exist."""
 
     async def scenario(p):
@@ -93,14 +93,14 @@
         assert sum(a.status == 200 for a in answers) == 3
         assert sum(a.status == 429 for a in answers) == 6
 
-    limited(scenario, engine=False)
+    run_limited(scenario, engine=False)
 
 
-def test_a_request_that_did_not_run_is_not_counted(limited):
+def test_a_request_that_did_not_run_is_not_counted(run_limited):
     """Guards against refusals by full replicas that use up a limit."""
 
     async def scenario(p):
-        async def refused(server):
+        async def run_refused_first(server):
             p.replicas[0].then(status=503, not_run=True, body=b"")
             for number in range(8):
                 answer = await p.call(
@@ -111,6 +111,6 @@
             answers = await send(p, 3)
             assert [a.status for a in answers] == [200] * 3
 
-        await with_agent(p, refused)
+        await with_agent(p, run_refused_first)
 
-    limited(scenario)
+    run_limited(scenario)
--- a/dahliashunt/platform/tests/test_shapes.py
+++ b/dahliashunt/platform/tests/test_shapes.py
@@ -54,7 +54,7 @@
 KINDS = ("stream", "idempotent", "non_idempotent")
 
 
-def config_of(shape):
+def build_config(shape):
     """Return the operator's configuration of `shape`."""
     routes = []
     services = []
@@ -94,7 +94,7 @@
     return {"version": 1, "routes": routes, "services": services}
 
 
-async def open_shape(p, shape):
+async def deploy(p, shape):
     """List the replicas of each service and add the entries."""
     for name in shape.services:
         for _ in range(shape.replicas):
@@ -111,7 +111,7 @@
 @pytest.mark.parametrize("shape", SHAPES.values(), ids=SHAPES)
 def test_a_deployment_of_another_shape_is_served(platform, shape):
     async def scenario(p):
-        await open_shape(p, shape)
+        await deploy(p, shape)
         names = [
             (name, kind, entry)
             for name in shape.services
@@ -120,7 +120,7 @@
         ]
         answers = await asyncio.gather(
             *(
-                answer_of(
+                call_until_served(
                     p,
                     target=f"{shape.prefix}{name}/{kind}/{number}",
                     entry=entry,
@@ -133,12 +133,12 @@
         assert {(a.status, a.whole) for a in answers} == {(200, True)}
         assert {a.body.count(b"data: text") for a in answers} == {4}
         if shape.jobs:
-            await a_job_is_done(p, shape)
+            await check_job_is_taken_over(p, shape)
 
-    platform(scenario, replicas=0, config=config_of(shape))
+    platform(scenario, replicas=0, config=build_config(shape))
 
 
-async def answer_of(p, **call):
+async def call_until_served(p, **call):
     """Call until it is served, coming back when the refusal says.
 
     No agents run here, so that an entry sends little to each replica.
@@ -151,7 +151,7 @@
             await asyncio.sleep(float(answer.head.get("retry-after")))
 
 
-async def a_job_is_done(p, shape):
+async def check_job_is_taken_over(p, shape):
     """Submit a job at one entry, lose that one, and read it at another."""
     body = job_body(*(f"i{number}" for number in range(shape.jobs)))
     accepted = await p.call(
