--- a/dahliashunt/platform/job_bodies.py
+++ b/dahliashunt/platform/job_bodies.py
@@ -1,4 +1,4 @@
-"""JSON bodies of calls about batch jobs, decoded and encoded."""
+"""Decode and encode the JSON bodies of requests about batch jobs."""
 
 import base64
 import binascii
@@ -26,12 +26,12 @@
 ]
 
 MAX_JOB_ITEMS = 200
-"""Items of one job, by the platform's pages."""
+"""Maximum number of items in one job, as the platform's API defines it."""
 
 
 @dataclass(frozen=True, slots=True)
 class SubmittedItem:
-    """One item of a submission."""
+    """An item of a submitted job with its HTTP request."""
 
     item: Item
     path: str
@@ -45,7 +45,7 @@
     Raises
     ------
     RequestError
-        The payload is not a job; names the item and what is wrong.
+        The payload is malformed; the message names the item and the cause.
     """
     try:
         fields = json.loads(payload)
@@ -93,10 +93,10 @@
 
 
 class PlatformPayloadReader:
-    """`PayloadReader` of jobs as the platform's callers submit them."""
+    """Implement `PayloadReader` for jobs in the platform's JSON format."""
 
     def calls(self, job: Job, payload: bytes) -> list[Call]:
-        """Return the items' calls, in the job's order."""
+        """Return the calls of the job's items, in the order submitted."""
         return [_call(job, each) for each in decode_submission(payload)]
 
 
@@ -124,11 +124,11 @@
 
 
 def encode_results(total: int, first: int, results: list[Result]) -> bytes:
-    """Return the body of a read of results."""
+    """Return the response body with a page of results."""
     return json.dumps(
         {
             "total": total,
-            # Where the caller goes on reading.
+            # Position of the next page.
             "next": first + len(results),
             "results": [
                 {
--- a/dahliashunt/platform/job_calls.py
+++ b/dahliashunt/platform/job_calls.py
@@ -1,4 +1,4 @@
-"""Calls about batch jobs: submit, read results, read a body, end."""
+"""Handle requests about batch jobs: submit, read results or a body, end."""
 
 from dataclasses import dataclass
 import enum
@@ -24,23 +24,21 @@
 __all__ = ["JobCalls"]
 
 FEED_FRESHNESS_MS = 400
-"""What the feeds said so long ago is trusted to be all there is; beyond
-it an empty answer is checked against the store, so that a result that was
-read at another node is never missing here a second later."""
+"""Maximum age of the feeds' state. A read without new results checks the
+store if the feeds are older, since other nodes may have served newer ones."""
 
 MAX_POLL_WAIT_MS = 1_500
-"""Longest that a read waits for a result: callers wait a little over the
-second that they ask for."""
+"""Upper bound of the wait that a caller may request for results."""
 
 RETRY_ELSEWHERE_MS = 50
-"""Retry-After of a job that only this node can't take: the caller's next
-try goes to another one."""
+"""Retry-After of a job refused for a fault of this node alone: the caller's
+retry goes to another node."""
 
 _JSON = [("content-type", "application/json")]
 
 
 class JobAction(enum.Enum):
-    """What a call wants of a job."""
+    """Action that a request asks for on a job."""
 
     RESULTS = "results"
     BODY = "body"
@@ -56,18 +54,18 @@
 
 @dataclass(frozen=True, slots=True)
 class JobRequest:
-    """A call about one job.
+    """A request about one job.
 
     Attributes
     ----------
     verb : Verb
     job_id : JobId
     first : int
-        Position from which results are wanted.
+        Position of the first result to return.
     wait_ms : int
-        How long the call may wait for a result.
+        Maximum wait for a result.
     item_id : str
-        Whose body is wanted.
+        Item whose body is requested; empty for other actions.
     """
 
     action: JobAction
@@ -78,14 +76,14 @@
 
 
 class JobCalls:
-    """Answers calls about jobs.
+    """Handle requests about batch jobs.
 
     Parameters
     ----------
     node : Node
     jobs : JobParts
     followers : list of TableFollower
-        Of the jobs' tables.
+        Followers of the job and progress tables.
     """
 
     def __init__(self, node: Node, jobs: JobParts, followers):
@@ -101,7 +99,7 @@
         }
 
     def parse(self, method, path, query, headers) -> JobRequest | None:
-        """Return the call about a job, or None if it is none."""
+        """Return the request about a job, or None for another path."""
         for (expected_method, prefix), action in _ACTION_BY_ROUTE.items():
             if method == expected_method and path.startswith(prefix):
                 return self._parse_request(
@@ -128,10 +126,10 @@
     async def answer(
         self, job_request: JobRequest, workspace: Workspace | None, exchange
     ) -> None:
-        """Answer a call about a job.
+        """Answer a request about a job.
 
-        To another workspace it is as if there were no such job. A job that
-        belongs to nobody came without a key, and may be read without one.
+        A job of another workspace is reported as not found. A job that was
+        submitted without a key may be read without one.
         """
         job = await self._ledger.find(job_request.job_id)
         if job is None:
@@ -152,7 +150,7 @@
         body,
         exchange,
     ) -> None:
-        """Accept a job; 202 means that it is kept for good."""
+        """Accept a job; answers 202 once it is stored durably."""
         node = self._node
         job_id = JobId(headers.get(REQUEST_ID, ""))
         if not job_id:
@@ -208,7 +206,7 @@
         return known is not None and known.state is JobState.OPEN
 
     async def _refresh_if_stale(self, job):
-        """Read the progress itself unless the feeds are fresh."""
+        """Read the job's progress from the store if a feed is stale."""
         now_ms = self._node.clock.now_ms()
         heard = [follower.heard_ms for follower in self._followers]
         if any(h is None or now_ms - h > FEED_FRESHNESS_MS for h in heard):
--- a/dahliashunt/platform/job_parts.py
+++ b/dahliashunt/platform/job_parts.py
@@ -1,4 +1,4 @@
-"""Join the parts that keep and run batch jobs on an entry."""
+"""Assemble the components that store and run batch jobs on an entry."""
 
 import secrets
 
@@ -23,11 +23,11 @@
 __all__ = ["JobParts"]
 
 HANDOVER_RETRY_MS = 300
-"""Between tries to save while the store does not answer a leaving node."""
+"""Delay between attempts to save checkpoints during shutdown."""
 
 
 class JobParts:
-    """The view, the ledger and the worker of one entry.
+    """View, ledger, worker, takeover and expiry of one entry's jobs.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     places : ReplicaSelector
     pool : ConnectionPool
     keep_ms : int
-        How long results stay readable after a job's acceptance.
+        Retention of results after a job's acceptance.
 
     Attributes
     ----------
@@ -83,7 +83,7 @@
 
     @property
     def owners(self) -> int:
-        """Entries that have renewed their rows, as far as is known."""
+        """Number of entries known to renew their heartbeat rows."""
         return self._reader.owners
 
     def _make_takeover(self, owner):
@@ -113,11 +113,11 @@
 
     @property
     def unfinished(self) -> list:
-        """Items of this node's jobs that are not done, by job."""
+        """Pairs of job id and unfinished item, of this node's jobs."""
         return self._worker.unfinished()
 
     def loops(self) -> list:
-        """Return the coroutines that run for ever."""
+        """Return the coroutines of the background loops."""
         return [
             self._worker.run(),
             self._takeover.renew(),
@@ -127,13 +127,11 @@
         ]
 
     async def hand_over(self, until_ms: int) -> None:
-        """Give up this node's jobs, with what is done of their items.
+        """Save checkpoints of this node's items and release its jobs.
 
-        The failure it guards against: a machine that is restarted in
-        order runs its items until it is killed, and the others find out
-        by its silence, seconds later, and begin each item anew. While the
-        store is away nobody could go on, so that the items run on here,
-        up to `until_ms`.
+        Other entries then resume the items without waiting for a missed
+        heartbeat. While the store is unavailable the items keep running
+        here, until `until_ms` at most.
         """
         clock = self._node.clock
         while not await self._checkpoints.save():
--- a/dahliashunt/platform/standins/__init__.py
+++ b/dahliashunt/platform/standins/__init__.py
@@ -1,7 +1,7 @@
-"""The platform's side, small enough for tests and trials.
+"""In-memory stand-ins of the platform, for tests and simulations.
 
-Written from the platform's pages: its store, its replicas, and settings
-as it hands them to a process.
+They cover its store, its replicas, its callers and the settings that it
+passes to a process.
 """
 
 from dahliashunt.platform.standins.replica import ReplicaStandin
--- a/dahliashunt/platform/standins/caller.py
+++ b/dahliashunt/platform/standins/caller.py
@@ -1,4 +1,4 @@
-"""Callers of the platform: requests as they send them, answers as read."""
+"""Encode requests and decode answers as callers of the platform do."""
 
 import asyncio
 import base64
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobItem:
-    """An item of a job as its caller submits it."""
+    """An item of a submitted job."""
 
     item_id: str
     path: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobResult:
-    """A listed result as its caller reads it."""
+    """A result of a job's item."""
 
     item_id: str
     done: bool
@@ -58,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class JobPage:
-    """One read of results.
+    """A page of results.
 
     Attributes
     ----------
     total : int
-        Items of the job.
+        Number of items in the job.
     results : tuple of JobResult
-        From the position asked for on.
+        Results from the requested position on.
     """
 
     total: int
@@ -96,7 +96,7 @@
 
 
 async def exchange(connection, request: bytes, limit_ms: int) -> list | None:
-    """Send `request`; return the answer's events, None if it never ended.
+    """Send `request`; return the answer's events, or None on a timeout.
 
     The connection is closed afterwards.
     """
@@ -120,12 +120,12 @@
 
 
 def results_target(job_id: str, after: int) -> str:
-    """Return where results are read from position `after` on."""
+    """Return the request target of results from position `after` on."""
     return f"/api/lots/{job_id}?after={after}"
 
 
 def encode_job(items: list[JobItem]) -> bytes:
-    """Return the body with which a job is submitted."""
+    """Return the body of a job's submission."""
     return json.dumps({"requests": [_item(item) for item in items]}).encode()
 
 
@@ -141,7 +141,7 @@
 
 
 def decode_page(body: bytes) -> JobPage:
-    """Return the results in an answer's body."""
+    """Return the page of results in an answer's body."""
     fields = json.loads(body)
     results = tuple(
         JobResult(each["id"], each["state"] == "done", each["output"])
--- a/dahliashunt/platform/standins/replica.py
+++ b/dahliashunt/platform/standins/replica.py
@@ -1,4 +1,4 @@
-"""A replica whose answers, bytes and silences a test chooses."""
+"""HTTP replica with scripted answers, delays and failures."""
 
 import asyncio
 import collections
@@ -20,30 +20,30 @@
 
 @dataclass(frozen=True)
 class Step:
-    """What the replica does with one request.
+    """Scripted handling of one request.
 
     Attributes
     ----------
     status : int
     not_run : bool
-        Say that the request did not run.
+        Mark the answer as not run.
     events : int
-        Length of the stream; 0 answers with `body` at once.
+        Number of events in the stream; 0 answers with `body` instead.
     cut_after : int or None
-        Reset the connection after so many events, in the middle of one.
+        Send this many events, then reset the connection within the next.
     silent_after : int or None
-        Send nothing more after so many events.
+        Stall after this many events, with the connection open.
     body : bytes
     cut_body_at : int or None
-        Close the connection after so many bytes of the body.
+        Close the connection after this many bytes of the body.
     extra : bytes
-        Sent after the answer, belonging to nothing.
+        Surplus bytes sent after the end of the answer.
     gap_ms : int
-        Between events.
+        Delay between events.
     head_ms : int
-        Before the head.
+        Delay before the response head.
     reset_unanswered : bool
-        Reset the connection instead of the head.
+        Reset the connection before the response head.
     """
 
     status: int = 200
@@ -61,7 +61,7 @@
 
 @dataclass
 class Arrival:
-    """One request as the replica got it."""
+    """A request received by the replica."""
 
     method: str
     target: str
@@ -71,29 +71,29 @@
 
     @property
     def request_id(self) -> str:
-        """The request's id, empty if it has none."""
+        """Request id, or an empty string."""
         return self.headers.get(REQUEST_ID, "")
 
     @property
     def asks_report(self) -> bool:
-        """Whether the agent beside the replica asks what runs there."""
+        """Whether the request is an agent's query for the replica's load."""
         return self.target == REPORT_PATH
 
 
 @dataclass
 class ReplicaStandin:
-    """Serves on a free loopback port; `steps` are used up in order.
+    """HTTP server on a free loopback port that follows scripted steps.
 
     Attributes
     ----------
     replica_id : str
     steps : deque of Step
-        The last one is used again.
+        Consumed in order, one per request; the last one is reused.
     arrivals : list of Arrival
     running : int
-        Requests that are being answered.
+        Number of requests in progress.
     address : (str, int) or None
-        Once started.
+        Set by `start`.
     """
 
     replica_id: str = "i-1"
@@ -105,7 +105,7 @@
     _tasks: set = field(default_factory=set)
 
     async def start(self) -> tuple[str, int]:
-        """Listen; return the address."""
+        """Start to listen; return the address."""
         self._server = await asyncio.start_server(
             self._connected, "127.0.0.1", 0
         )
@@ -120,12 +120,12 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def cut_all(self) -> None:
-        """End every connection, as a loss of power does."""
+        """Close every connection, as a power loss does."""
         for task in list(self._tasks):
             task.cancel()
 
     def then(self, **step) -> "ReplicaStandin":
-        """Add a step."""
+        """Append a step; return the replica, for chaining."""
         self.steps.append(Step(**step))
         return self
 
@@ -174,12 +174,12 @@
         answer = asyncio.create_task(self._answer(arrival, step, writer))
         await asyncio.wait({closed, answer}, return_when="FIRST_COMPLETED")
         if not answer.done():
-            # The caller closed the connection: the work stops.
+            # The caller closed the connection; cancel the request.
             answer.cancel()
             await asyncio.gather(closed, answer, return_exceptions=True)
             return False
         closed.cancel()
-        # A reset by the caller is the end of its connection, no more.
+        # Ignore a connection reset by the caller.
         await asyncio.gather(closed, return_exceptions=True)
         return answer.result()
 
@@ -229,7 +229,7 @@
 
 
 def report_answer(running: list[str], waiting: int) -> bytes:
-    """Return the whole answer with a replica's report of its load."""
+    """Return the HTTP response with a replica's load report."""
     runs = [[request_id, 0, 0, 0] for request_id in running]
     fields = {
         "runs": runs,
--- a/dahliashunt/platform/standins/settings.py
+++ b/dahliashunt/platform/standins/settings.py
@@ -1,4 +1,4 @@
-"""Settings and configuration as the platform writes them."""
+"""Settings and configuration in the platform's format."""
 
 __all__ = [
     "UNREADABLE_REPLICAS",
@@ -15,11 +15,11 @@
 ]
 
 UNREADABLE_REPLICAS = (b"\xff{", "[]", {"address": 7}, {"state": "ready"})
-"""Entries of the list that name no replica."""
+"""Malformed entries of the list of replicas."""
 
 
 def settings_fields(store: tuple[str, int], **changed) -> dict:
-    """Return the fields of a settings file, with `changed` on top."""
+    """Return the fields of a settings file, updated with `changed`."""
     fields = {
         "node-name": "front-1",
         "zone": "north",
@@ -75,7 +75,7 @@
 ) -> dict:
     """Return a configuration with one service called llm.
 
-    Callers need keys where `workspaces` are given.
+    Callers need API keys if `workspaces` is given.
     """
     service = {"name": "llm", "health-path": "/health", "max-conns": 100}
     if engine:
@@ -112,9 +112,9 @@
     store : (str, int)
     name, host : str
     ports : (int, int)
-        First and last port between nodes.
+        First and last port for traffic between nodes.
     callers, readiness : int
-        Where callers and questions of readiness go.
+        Ports of the caller-facing and the readiness listener.
     """
     listen = {
         "front": f"{host}:{callers}",
@@ -124,7 +124,7 @@
 
 
 def agent_fields(store, name, host, ports, replica) -> dict:
-    """Return the settings of an agent whose replica has port `replica`."""
+    """Return an agent's settings; its replica listens on port `replica`."""
     app = f"{host}:{replica}"
     return _node_fields(store, name, host, ports, listen={}, app=app)
 
@@ -135,13 +135,13 @@
 
 
 def stream_route(prefix: str, budget_ms: int, most_runs: int) -> dict:
-    """Return a route of streams that may go on elsewhere."""
+    """Return a route of streams that another replica can resume."""
     times = {"timeout-ms": budget_ms, "max-attempts": most_runs}
     return route_fields(prefix=prefix, **times)
 
 
 def at_most_once_route(prefix: str, budget_ms: int) -> dict:
-    """Return a route whose requests run once or not at all."""
+    """Return a route of non-idempotent requests, never retried."""
     times = {"timeout-ms": budget_ms, "max-attempts": 1}
     return route_fields(
         name="once",
--- a/dahliashunt/platform/standins/store.py
+++ b/dahliashunt/platform/standins/store.py
@@ -1,4 +1,4 @@
-"""The store: rows in tables and parts, feeds, and objects."""
+"""In-memory HTTP store with tables, change feeds and objects."""
 
 import asyncio
 import base64
@@ -19,23 +19,24 @@
 
 @dataclass
 class Trouble:
-    """What the store does wrong at the moment.
+    """Faults that the store injects.
 
     Attributes
     ----------
     status : int or None
-        Refuse every call with it.
+        Refuse every call with this status.
     silent : bool
-        Never answer, and do nothing.
+        Neither apply nor answer any call.
     lose_answers : int
-        Apply so many writes more, and never answer them.
+        Number of further writes to apply without an answer.
     refuse_writes_after : int or None
-        Take so many writes more, then refuse them with 503.
+        Number of further writes to accept before refusing with 503.
     late_writes : int
-        Apply so many writes more only after `late_ms`, if their condition
-        holds then, and never answer them.
+        Number of further transactions to apply after `late_ms`, without
+        an answer; their conditions are checked then.
+    late_ms : int
     delay_ms : int
-        Before each answer.
+        Delay before each answer.
     """
 
     status: int | None = None
@@ -49,7 +50,7 @@
 
 @dataclass
 class _Rows:
-    """Rows by (table, part, key), and what changed in which order."""
+    """Rows by (table, part, key), and their changes in order."""
 
     by_key: dict = field(default_factory=dict)
     changes: list = field(default_factory=list)
@@ -58,13 +59,13 @@
 
 
 class StoreStandin:
-    """A store in memory behind HTTP.
+    """In-memory store behind an HTTP server.
 
     Attributes
     ----------
     trouble : Trouble
     calls : dict
-        Calls by path.
+        Number of calls by path.
     object_by_name : dict
     """
 
@@ -78,22 +79,22 @@
         self._closing = False
 
     async def start(self) -> tuple[str, int]:
-        """Listen on a free loopback port; return the address."""
+        """Start to listen on a free loopback port; return the address."""
         self._server = HttpServer(self._app, "127.0.0.1", 0, lifespan=False)
         await self._server.start()
         return ("127.0.0.1", self._server.port)
 
     async def stop(self) -> None:
-        """Answer the feeds that wait, then close every connection."""
+        """Answer pending feed requests, then close every connection."""
         self._closing = True
         self._changed.set()
         await asyncio.sleep(0)
         await self._server.stop_now()
 
-    # What a test does as the operator or another writer.
+    # Direct access for tests, as the operator or another writer.
 
     def put(self, table: str, key: str, value, part: str = "") -> None:
-        """Write a row: text, bytes, or a value to be written as JSON."""
+        """Write a row; a value other than text or bytes becomes JSON."""
         if not isinstance(value, str | bytes):
             value = json.dumps(value)
         raw = value.encode() if isinstance(value, str) else value
@@ -104,7 +105,7 @@
         self._write((table, part, key), None)
 
     def configure(self, configuration) -> None:
-        """Put a configuration into force, as the operator does."""
+        """Write the operator's configuration."""
         self.put("op", "config", configuration)
 
     def list_replica(self, replica_id: str, entry) -> None:
@@ -112,7 +113,7 @@
         self.put("servers", replica_id, entry)
 
     def unlist_replica(self, replica_id: str) -> None:
-        """Take an entry out of the list of replicas."""
+        """Remove an entry from the list of replicas."""
         self.drop("servers", replica_id)
 
     def value(self, table: str, key: str, part: str = "") -> str | None:
@@ -125,7 +126,7 @@
         return list(self._rows.by_key)
 
     def forget_history(self) -> None:
-        """Drop the history: feeds get 410 from before now."""
+        """Drop the change history; feeds from an older version get 410."""
         self._rows.changes.clear()
         self._rows.oldest = self._rows.version
 
--- a/dahliashunt/platform/store.py
+++ b/dahliashunt/platform/store.py
@@ -1,7 +1,7 @@
-"""The platform's store behind our ports for tables, feeds and objects.
+"""HTTP client of the platform's store: tables, change feeds and objects.
 
-A key of `TableService` is ``table/part/key``: one transaction names rows
-of one part. Versions come from the store's one counter.
+A key of `TableService` is ``table/part/key``. A transaction is limited to
+rows of one part. Row versions come from one counter of the store.
 """
 
 import base64
@@ -29,9 +29,8 @@
 __all__ = ["PlatformStore"]
 
 WRITE_TIMEOUT_MS = 1_000
-"""Longest wait for a write's answer. The store takes some 10 ms, slowed by
-a factor of 60 some 500; a write without answer has to be settled, so that
-giving up early costs more than waiting."""
+"""Timeout of a write, above the latency of a slow store: the outcome of a
+write that times out is unknown and has to be resolved by a read."""
 
 READ_TIMEOUT_BOUNDS_MS = (150, 700)
 """Bounds of a read's timeout, which is `READ_TIMEOUT_FACTOR` times the
@@ -42,12 +41,12 @@
 LATENCY_EWMA_WEIGHT = 0.2
 
 MAX_PAGE_ROWS = 500
-"""Most rows that the store returns at once."""
+"""Maximum number of rows in one response of the store."""
 
 _REFUSED_STATUSES = (429, 503)
 
 OBJECTS_LABEL = "objects"
-"""Stands for the table in the count of calls about objects."""
+"""Value of the ``table`` label for calls about objects."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,12 +59,13 @@
 
 
 class PlatformStore:
-    """`TableService`, `TableFeed` and `ObjectStore` over one address.
+    """Implement `TableService`, `TableFeed` and `ObjectStore` over HTTP.
 
     Parameters
     ----------
     address : (str, int)
-        May be set anew; calls in progress end at the old one.
+        Host and port. May be reassigned; calls in progress keep the old
+        address.
     pool : ConnectionPool
     clock : Clock
     metrics : Metrics
@@ -83,10 +83,9 @@
         self._latency_ms = INITIAL_LATENCY_MS
 
     def now_ms(self) -> int:
-        """Return the store's steady clock, as of its last answer.
+        """Return the store's monotonic clock, estimated from its last answer.
 
-        All nodes share it, to within the time of an answer; wall clocks
-        differ by seconds.
+        All nodes agree on it to within the latency of one call.
         """
         return self._clock.now_ms() + self._clock_offset_ms
 
@@ -100,7 +99,7 @@
     async def read_range(
         self, start: str, end: str, limit: int
     ) -> tuple[Row, ...]:
-        """Return rows with ``start <= key < end``, all of one part."""
+        """Return rows of one part with ``start <= key < end``."""
         table, part, first = _split_key(start)
         rows = []
         while len(rows) < limit:
@@ -124,7 +123,7 @@
         return await self._read_json("/api/rows-get", query)
 
     async def transact(self, writes: tuple[Write, ...]) -> tuple[int, ...]:
-        """Apply all `writes`, which name rows of one part, or none."""
+        """Apply all `writes` atomically; their rows must be of one part."""
         self._count("transact", _split_key(writes[0].key)[0])
         body = json.dumps(_encode_transaction(writes)).encode()
         reply = await self._write("POST", "/api/rows-tx", body)
@@ -147,23 +146,23 @@
         while True:
             page = await self._page(table, part, first, "", MAX_PAGE_ROWS)
             rows += [_row(each) for each in page["rows"]]
-            # The first page's version: what changes between two pages
-            # comes again with the changes after it.
+            # Use the first page's version, so that changes made between
+            # two pages are delivered again by the feed.
             version = page["ver"] if version is None else version
             if not page.get("truncated") or not page["rows"]:
                 return Changes(tuple(rows), (), version)
             first = page["rows"][-1]["key"] + "\x00"
 
     async def changes(self, table: str, after: int, wait_ms: int) -> Changes:
-        """Return what changed in `table` after version `after`."""
+        """Return the changes in `table` after version `after`."""
         query = {"table": table, "after": after, "wait-ms": wait_ms}
         self._count("feed", table)
         found = await self._read_json("/api/rows-feed", query, wait_ms)
         row_by_key = {}
         for each in found["rows"]:
             key = _key(each)
-            # A row that was removed and written again comes twice in one
-            # answer: what came last is how it is now.
+            # A row that changed several times is listed once per change;
+            # the last entry is its current state.
             row_by_key.pop(key, None)
             row_by_key[key] = None if each.get("removed") else _row(each)
         rows = tuple(row for row in row_by_key.values() if row is not None)
@@ -173,7 +172,7 @@
     # Objects.
 
     async def put(self, name: str, data: bytes) -> None:
-        """Store `data` under `name`; a repeat of the same is harmless."""
+        """Store `data` under `name`; idempotent."""
         self._count("put", OBJECTS_LABEL)
         path = f"/api/blob-put/{quote(name, safe='')}"
         self._decode(await self._write("PUT", path, data))
@@ -236,7 +235,7 @@
         return reply
 
     async def _call(self, method, target, body, wait_ms):
-        """Return the answer, or None if none came; raise if not sent."""
+        """Return the answer, or None on a timeout; raise if not sent."""
         address = self.address
         try:
             connection = await self._pool.take(address)
@@ -254,8 +253,7 @@
                 connection, request, self._clock, timeout_ms + wait_ms
             )
         except BaseException:
-            # Cancelled between request and answer: what comes late must
-            # not be read by the next call.
+            # A late answer must not be read by the connection's next call.
             connection.abort()
             raise
         self._pool.give_back(address, connection)
@@ -273,7 +271,11 @@
         return int(min(max_ms, max(min_ms, timeout_ms)))
 
     def _update_latency(self, elapsed_ms):
-        """Note how long a call took, with an answer or without."""
+        """Update the moving average with the duration of a call or timeout.
+
+        A sample above `READ_TIMEOUT_FACTOR` times the average replaces it,
+        so that the timeout grows at once when the store slows down.
+        """
         if elapsed_ms > READ_TIMEOUT_FACTOR * self._latency_ms:
             self._latency_ms = elapsed_ms
         else:
@@ -302,8 +304,7 @@
         value = base64.b64decode(fields.get("value") or "", validate=True)
         text = value.decode("utf-8")
     except (binascii.Error, ValueError):
-        # Another writer's row with bytes that cannot be read: empty text
-        # is what every reader of ours takes as "names nothing".
+        # Rows of other writers may not decode; their value reads as empty.
         text = ""
     return Row(_key(fields), text, fields["ver"])
 
