--- a/dahliashunt/platform/tests/test_job_handover.py
+++ b/dahliashunt/platform/tests/test_job_handover.py
@@ -1,4 +1,4 @@
-"""What a job's next owner finds of the items that were under way."""
+"""Resumption of a job's unfinished items by its next owner."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 EVENTS = 40
 EVENTS_BEFORE_STALL = 25
-"""Events that an item's first owner gets before its replica pauses."""
+"""Events that an item's first owner receives before its replica stalls."""
 
 
 def partial_rows(p):
@@ -28,7 +28,7 @@
 
 
 async def start_item(p):
-    """Submit a job of one item; return once a part of it was saved."""
+    """Submit a job of one item; return once a partial text is saved."""
     p.replicas[0].then(events=EVENTS, silent_after=EVENTS_BEFORE_STALL)
     assert (await submit(p, body=job_body("a"))).status == 202
     await p.until(lambda: partial_rows(p))
@@ -37,9 +37,7 @@
 
 
 def test_an_item_goes_on_where_a_killed_owner_was(platform):
-    # A museum's lot is half done when its entry loses power. Each item
-    # began anew at the next owner, and on a fleet without spare slots the
-    # whole lot came late.
+    # Guards against a next owner that restarts items from their first event.
     async def scenario(p):
         other = await p.add_entry()
         await start_item(p)
@@ -53,8 +51,7 @@
 
 
 def test_an_entry_that_leaves_hands_its_jobs_over(platform):
-    # A rolling restart: the entry knew that it was leaving, ran its items
-    # until it was killed, and the others found out by its silence.
+    # Guards against a shutdown that others notice only by a lost heartbeat.
     async def scenario(p):
         leaving, other = p.entries[0], await p.add_entry()
         await start_item(p)
@@ -70,8 +67,7 @@
 
 
 def test_a_leaving_entry_without_the_store_runs_on(platform):
-    # The store is silent while machines are restarted: nobody could go on
-    # with the items, which stood still until it was back.
+    # Guards against items released while no other entry can take them over.
     async def scenario(p):
         leaving, other = p.entries[0], await p.add_entry()
         replica = p.replicas[0].then(
@@ -94,8 +90,8 @@
 
 
 def test_a_listed_item_is_not_run_again_for_an_older_text(platform):
-    # The owner listed an item, and its text of a second before came to the
-    # store late. The next owner must neither run nor list it again.
+    # Guards against a late partial text that makes the next owner run or
+    # list an already listed item again.
     async def scenario(p):
         replica = p.replicas[0].then(events=2).then(events=2, silent_after=1)
         other = await p.add_entry()
@@ -143,7 +139,7 @@
 
 
 def test_a_store_that_is_away_costs_no_item(platform):
-    # Texts can't be saved for a while: the items run on and are listed.
+    # Guards against partial texts lost after a failed save.
     async def scenario(p):
         partials = p.entries[0].jobs.partials
         text = Partial("j9", 0, 1, "text")
--- a/dahliashunt/platform/tests/test_jobs.py
+++ b/dahliashunt/platform/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs through entries between stand-ins of store and replicas."""
+"""Batch jobs on entries between a stand-in store and stand-in replicas."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 from dahliashunt.platform.tests.conftest import free_port
 
 RETENTION_MS = 120_000
-"""As the stand-in's settings say."""
+"""Retention of results in the stand-in's settings."""
 
 PROMPT_PARTS = "aa:10,bb:5"
 
@@ -54,7 +54,7 @@
 
 
 async def read_all(p, job="j1", **kwargs):
-    """Read until every result is there; return them in order."""
+    """Read until every result is listed; return them in order."""
     results = []
     async with asyncio.timeout(20):
         while True:
@@ -88,8 +88,7 @@
 
 
 def test_a_job_that_comes_again_is_accepted_once(platform):
-    # The 202 was lost on its way, and the same job arrives at another
-    # entry. A second acceptance would run and bill everything twice.
+    # Guards against a retried submission that runs and bills a job twice.
     async def scenario(p):
         p.replicas[0].then(events=2)
         other = await p.add_entry()
@@ -105,7 +104,7 @@
 
 
 def test_the_quota_counts_over_all_entries(platform):
-    # Two jobs arrive at two entries at the same moment and only one fits.
+    # Guards against concurrent submissions at two entries beyond the quota.
     async def scenario(p):
         p.replicas[0].then(events=1, silent_after=0)
         other = await p.add_entry()
@@ -168,9 +167,8 @@
 
 
 def test_the_jobs_of_a_killed_entry_are_finished_by_another(platform):
-    # All collections of a museum were accepted by one entry, which loses
-    # power with one item listed. What was listed keeps its position, the
-    # rest is run again elsewhere.
+    # Guards against jobs lost with their owner, and against listed results
+    # that change their position.
     async def scenario(p):
         p.replicas[0].then(events=2).then(events=2, silent_after=1)
         other = await p.add_entry()
@@ -188,10 +186,8 @@
 
 
 def test_an_owner_that_the_store_turned_away_hands_in_its_results(platform):
-    # A grower's reports are late although they were done in time: the store
-    # turned the entry that owned them away, it ran them to the end and could
-    # not list them, another entry began them anew, and what the first one
-    # had was thrown away when the store answered it again.
+    # Guards against finished results that a former owner discards because
+    # another entry took the job over while the store was unreachable.
     async def scenario(p):
         replica = p.replicas[0].then(events=3, gap_ms=20)
         owner, other = p.entries[0], await p.add_entry()
@@ -267,8 +263,7 @@
 
 @pytest.mark.parametrize("lost", [1, 2], ids=["object", "transaction"])
 def test_a_lost_answer_of_the_store_is_settled(platform, lost):
-    # The store applied a write and its answer was lost. "Not run" may be
-    # said only if no part of the job can ever be accepted.
+    # Guards against "not run" for a job whose acceptance was applied.
     async def scenario(p):
         p.replicas[0].then(events=1)
         if lost == 2:
@@ -319,8 +314,7 @@
 
 
 def test_a_node_cut_off_from_the_store_says_so_at_once(platform):
-    # A museum's job reaches an entry that was cut off. It held the call
-    # until its reads timed out, and the job came too late elsewhere.
+    # Guards against a submission held until the store's reads time out.
     async def scenario(p):
         node = p.entries[0].node
         p.store.trouble.silent = True
@@ -352,8 +346,8 @@
 
 
 def test_an_item_that_is_refused_waits_before_its_next_try(platform):
-    # The machine came back with another replica at the same address; the
-    # list still names the one before, which refuses within a millisecond.
+    # Guards against a busy retry loop when another replica now listens at
+    # the listed address and refuses at once.
     async def scenario(p):
         replica = p.replicas[0].then(events=1)
         replica.replica_id = "i-new"
@@ -369,7 +363,7 @@
 
 
 def job_rows(p):
-    """Return how much the store keeps of jobs."""
+    """Return the number of rows and objects stored for jobs."""
     names = p.store.names()
     tables = ("jobs", "progress", "results")
     return sum(name[0] in tables for name in names) + len(
@@ -378,8 +372,7 @@
 
 
 def test_what_is_kept_of_a_job_goes_when_its_time_is_over(platform):
-    # A fleet runs for weeks: every result of every job stays in the store
-    # and in each node's memory, and a restarted node reads all of them.
+    # Guards against results that stay in the store and in memory for ever.
     async def scenario(p):
         p.replicas[0].then(events=2)
         other = await p.add_entry()
@@ -391,13 +384,13 @@
             + RETENTION_MS
             + RETENTION_MARGIN_MS
         )
-        # Both have heard that it is closed: news of jobs is gathered.
+        # Job changes are batched; wait until both entries see it closed.
         for entry in p.entries:
             view = entry.jobs.view
             await p.until(lambda v=view: not v.open_jobs())
         await jobs.expiry.look(kept_until_ms)
         assert job_rows(p) == 7 + 3
-        # Its owner removes it first, any node a while later.
+        # The owner removes a job first, other nodes after a grace period.
         await other.jobs.expiry.look(kept_until_ms + ORPHAN_GRACE_MS + 1)
         assert job_rows(p) == 0
         await p.until(lambda: not jobs.view.jobs())
@@ -420,8 +413,8 @@
 
 
 def test_a_removal_that_is_cut_short_is_taken_up_again(platform):
-    # The store goes away in the middle: what is left must not stay for
-    # ever, and a read meanwhile must not tell a wrong result.
+    # Guards against leftovers of an interrupted removal, and against a read
+    # that returns a wrong result meanwhile.
     async def scenario(p):
         p.replicas[0].then(events=2)
         await submit(p)
--- a/dahliashunt/platform/tests/test_keys.py
+++ b/dahliashunt/platform/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Callers known by their keys, on every way to a replica."""
+"""Authentication of callers by API keys, on every path to a replica."""
 
 import json
 
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def run_with_keys(platform):
-    """Return ``run(scenario)`` with callers who need keys."""
+    """Return ``run(scenario)`` under a configuration with workspaces."""
 
     def run(scenario, workspaces=WORKSPACES, **kwargs):
         config = config_fields(ROUTES, engine=False, workspaces=workspaces)
@@ -44,7 +44,7 @@
 
 
 def reconfigure(p, *workspaces):
-    """Put version 2 in force; return a condition that says that it is."""
+    """Write configuration 2; return a condition that holds once applied."""
     p.store.configure(
         config_fields(ROUTES, version=2, engine=False, workspaces=workspaces)
     )
@@ -56,7 +56,7 @@
 
 
 def test_a_replica_is_told_the_workspace_and_never_the_key(run_with_keys):
-    """Guards against a replica that learns keys or believes a caller."""
+    """Guards against replicas given keys or a caller's workspace name."""
 
     async def scenario(p):
         answer = await p.call(authorization=OUR_SECOND_KEY, workspace="theirs")
@@ -73,7 +73,7 @@
     [{}, {"authorization": "Token no"}, {"authorization": "Bearer k-ours"}],
 )
 def test_an_unknown_key_is_refused_with_a_challenge(run_with_keys, headers):
-    """Guards against a stranger's request that runs."""
+    """Guards against unauthenticated requests that run."""
 
     async def scenario(p):
         for target in ("/a/x", "/s/x", "/j/j1"):
@@ -110,7 +110,7 @@
 
 
 def test_without_workspaces_no_key_is_asked_for(platform):
-    """Guards against a change for deployments that know no keys."""
+    """Guards against authentication in deployments without workspaces."""
 
     async def scenario(p):
         answer = await p.call(authorization="Basic abc", workspace="x")
@@ -142,7 +142,7 @@
 
 
 def test_a_key_taken_away_stops_requests_on_open_connections(run_with_keys):
-    """Guards against keys that live on with their connections."""
+    """Guards against revoked keys that stay valid on open connections."""
 
     async def scenario(p):
         assert (await p.call(authorization=OUR_KEY)).status == 200
@@ -194,7 +194,7 @@
 
 
 def test_an_unreadable_workspace_harms_only_itself(run_with_keys):
-    """Guards against one broken entry that locks out everybody."""
+    """Guards against one malformed workspace that rejects all callers."""
     broken = workspace_fields("bad", "k-bad", **{"rate-per-s": "many"})
     no_keys = {"name": "worse", "api-keys": 7}
 
@@ -236,7 +236,7 @@
 
 
 def test_an_items_own_headers_name_no_workspace(run_with_keys):
-    """Guards against a submitter that runs items in another's name."""
+    """Guards against item headers that forge another workspace."""
     forged = {"Dahliashunt-Tenant": "theirs", "Authorization": THEIR_KEY}
     fields = json.loads(job_body("a"))
     fields["requests"][0]["headers"].update(forged)
@@ -254,7 +254,7 @@
 
 
 def test_waiting_tokens_are_capped_for_each_workspace(run_with_keys):
-    """Guards against one workspace's jobs that shut out the others'."""
+    """Guards against a waiting-token cap shared by all workspaces."""
 
     async def scenario(p):
         p.replicas[0].then(events=1, gap_ms=60_000)
@@ -303,7 +303,7 @@
 
 
 def test_of_two_workspaces_with_one_key_every_entry_takes_the_same():
-    """Guards against entries that serve one key in two names."""
+    """Guards against entries that map one key to different workspaces."""
     for order in ((0, 1), (1, 0)):
         both = [workspace_fields(name, "k") for name in ("b", "a")]
         fields = config_fields((), workspaces=[both[n] for n in order])
--- a/dahliashunt/platform/tests/test_limits.py
+++ b/dahliashunt/platform/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of workspaces on an entry between stand-ins."""
+"""Rate limits of workspaces, on an entry between stand-ins."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
 
 
 async def with_agent(p, scenario):
-    """Run `scenario` with an agent beside the entry's replica."""
+    """Run `scenario` with a slot server in place of the replica's agent."""
     server = SlotServer(
         SlotAllocator(8),
         SystemClock(),
@@ -56,7 +56,7 @@
 
 
 def test_beyond_its_burst_a_workspace_is_told_when_to_come_back(run_limited):
-    """Guards against a hot workspace that takes what others need."""
+    """Guards against requests beyond the burst and synchronised retries."""
 
     async def scenario(p):
         async def burst(server):
@@ -75,7 +75,7 @@
 
 
 def test_a_workspace_without_a_rate_is_not_limited(run_limited):
-    """Guards against a limit of 0 that shuts its workspace out."""
+    """Guards against a rate of 0 that refuses every request."""
 
     async def scenario(p):
         for number in range(9):
@@ -86,7 +86,7 @@
 
 
 def test_without_any_agent_an_entry_goes_by_its_share(run_limited):
-    """Guards against callers that wait for meters that don't exist."""
+    """Guards against callers that wait for absent meters."""
 
     async def scenario(p):
         answers = await send(p, 9)
@@ -97,7 +97,7 @@
 
 
 def test_a_request_that_did_not_run_is_not_counted(run_limited):
-    """Guards against refusals by full replicas that use up a limit."""
+    """Guards against requests refused by replicas that use up the limit."""
 
     async def scenario(p):
         async def run_refused_first(server):
--- a/dahliashunt/platform/tests/test_shapes.py
+++ b/dahliashunt/platform/tests/test_shapes.py
@@ -1,7 +1,7 @@
-"""Deployments of other shapes than the known ones are served as well.
+"""Deployments of various shapes.
 
-Names, hosts, paths, counts, slots, limits and kinds of service differ; a
-part that was keyed to a known deployment would refuse or misplace here.
+Guards against code that assumes the names, paths, counts or kinds of service
+of a particular deployment.
 """
 
 import asyncio
@@ -19,15 +19,15 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """One deployment.
+    """A deployment.
 
     Attributes
     ----------
     services : dict of str to bool
-        Whether the service's replicas are engines, by its name.
+        By service name, whether its replicas are engines.
     slots : int
     jobs : int
-        Items of the job that is submitted.
+        Number of items in the submitted job; 0 submits none.
     """
 
     services: dict
@@ -139,9 +139,9 @@
 
 
 async def call_until_served(p, **call):
-    """Call until it is served, coming back when the refusal says.
+    """Retry a request after each refusal's Retry-After until it is served.
 
-    No agents run here, so that an entry sends little to each replica.
+    Refusals are expected: without agents, an entry limits its own load.
     """
     async with asyncio.timeout(20):
         while True:
@@ -152,7 +152,7 @@
 
 
 async def check_job_is_taken_over(p, shape):
-    """Submit a job at one entry, lose that one, and read it at another."""
+    """Submit a job, kill its entry if there are others, and read it."""
     body = job_body(*(f"i{number}" for number in range(shape.jobs)))
     accepted = await p.call(
         "POST", "/j/job", body, request_id="job", host=shape.host
@@ -175,8 +175,8 @@
 
 
 def test_a_configuration_that_says_less_is_served(platform):
-    # Only what must stand there stands there: no limits, no aims, no
-    # weights, and keys that nobody here knows.
+    # Guards against optional fields treated as required, and against unknown
+    # fields treated as errors.
     route = {
         "name": "r",
         "host": "x",
