--- a/dahliashunt/decisions/tests/test_caps.py
+++ b/dahliashunt/decisions/tests/test_caps.py
@@ -198,6 +198,13 @@
     assert overruns(sim, 7, limit, rate) <= 0
 
 
+def test_two_meters_killed_at_once_leave_the_limit():
+    """Guards against two killed meters that let in more than the limit."""
+    play = test_no_history_lets_in_more_than_the_limit.hypothesis.inner_test
+    faults = [("entry", 1_270, 0), ("meter", 383, 0), ("meter", 383, 6)]
+    play(142, 35.0, 9.0, 0.3, faults)
+
+
 def report(total, sequence, wanted=0, since=0, life=1, limit=LIMIT):
     return UsageReport(7, life, sequence, total, since, wanted, limit)
 
