--- a/dahliashunt/decisions/endpoint.py
+++ b/dahliashunt/decisions/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint as one entry sees it."""
+"""State of an endpoint, an engine or a plain service, at one entry."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -40,10 +40,13 @@
     first_token_ms : float
         Moving average of the time from dispatch to the first token.
     ms_per_token, pending_tokens : float
-        Estimated speed of prefill; prompt tokens of requests that wait
-        for their first token.
+        Estimated prefill time per token; prompt tokens of requests that
+        wait for their first token.
     reserved_by : RequestId or None
         Suspect that runs there alone.
+    quarantined_until_ms : int
+        Time until which its agent's report that a suspect is there counts;
+        no request is sent there before.
     busy_until_ms : int
         Time before which no suspect is sent there.
     crash_counted : set of Fingerprint
--- a/dahliashunt/decisions/partners.py
+++ b/dahliashunt/decisions/partners.py
@@ -14,11 +14,10 @@
 How
 ---
 Each entry keeps links to a small subset of the replicas, its partners, which
-`choose_links` derives from the ids: the subsets differ between entries, and
-a replica that joins or leaves changes only its own place. When all partners
-asked are full, a few other replicas are sampled per request, which also
-reaches replicas that are no entry's partner
-(`test_a_wave_is_served_as_well_as_by_asking_at_random`).
+`link_choice.choose_links` derives from the ids: the subsets differ between
+entries, and a replica that joins or leaves changes only its own place. When
+all partners asked are full, a few other replicas are sampled per request,
+which also reaches replicas that are no entry's partner.
 
 References
 ----------
@@ -31,7 +30,7 @@
 __all__ = ["MAX_PARTNERS", "NON_PARTNER_SAMPLES", "sample_non_partners"]
 
 MAX_PARTNERS = 24
-"""Partners of an entry in one service."""
+"""Most partners of an entry in one service."""
 
 NON_PARTNER_SAMPLES = 2
 """Replicas sampled beyond the partners when every partner asked is full."""
--- a/dahliashunt/decisions/rate_limits.py
+++ b/dahliashunt/decisions/rate_limits.py
@@ -42,7 +42,7 @@
     "wait_ms",
 ]
 
-RATE_LIMIT_POLICIES = Registry("cap policy")
+RATE_LIMIT_POLICIES = Registry("rate limit policy")
 
 IDLE_EXPIRY_MS = 10_000
 """State of a workspace without requests is evicted after this time."""
@@ -51,7 +51,7 @@
 """Members checked for eviction per insertion; above 1 a table shrinks."""
 
 MAX_RETRY_AFTER_MS = 5_000
-"""Longest Retry-After; load further ahead is not predictable."""
+"""Longest time to retry, in milliseconds."""
 
 
 class RateLimitVerdict(enum.Enum):
@@ -97,7 +97,7 @@
     rate : float
         Requests a second; above 0.
     room : float
-        Bucket size: requests that may come at once; at least 1.
+        Burst: requests that may come at once; at least 1.
     revision : int
         Revision of the configuration that sets the limit.
     """
@@ -109,7 +109,20 @@
 
 @dataclass(frozen=True, slots=True)
 class MeterState:
-    """State of one meter as known to an entry; see `UsageReading`."""
+    """State of one meter as known to an entry.
+
+    Attributes
+    ----------
+    host : str
+    level : float
+        Requests that the meter counts, less those that the rate has drained.
+    heard_ms : int or None
+        Time of its last reading.
+    mature : bool
+        Whether it has counted for a whole window.
+    silent : bool
+        Whether it leaves reports unanswered.
+    """
 
     host: str
     level: float
@@ -174,7 +187,10 @@
 
 
 def wait_ms(missing: float, rate: float) -> int:
-    """Return how long the rate takes to drain `missing` requests."""
+    """Return the time to drain `missing` requests, in milliseconds.
+
+    It is at least 1 and at most `MAX_RETRY_AFTER_MS`.
+    """
     return min(MAX_RETRY_AFTER_MS, max(1, -int(-1000 * missing // rate)))
 
 
@@ -209,7 +225,8 @@
     """Each entry enforces an equal share of the limit without messages.
 
     The baseline, and the fallback of an entry that reaches no meters: the
-    shares of all entries add up to the limit under any network partition.
+    rates of entries that know the same number of entries add up to the limit
+    under any network partition. Each has room for one request at least.
 
     Parameters
     ----------
--- a/dahliashunt/decisions/registry.py
+++ b/dahliashunt/decisions/registry.py
@@ -17,7 +17,7 @@
 
     Parameters
     ----------
-    what : str
+    kind : str
         Noun for the members, used in error messages.
 
     Examples
--- a/dahliashunt/decisions/replica_choice.py
+++ b/dahliashunt/decisions/replica_choice.py
@@ -136,7 +136,7 @@
 
 
 def _free_slots(one):
-    # A replica of unknown load counts as half full.
+    # If the load is unknown, only half of the slots count.
     if one.age_ms > MAX_LOAD_AGE_MS:
         return max(0, one.slots // 2 - one.taken)
     return max(0, one.slots - one.taken)
--- a/dahliashunt/decisions/retry.py
+++ b/dahliashunt/decisions/retry.py
@@ -6,13 +6,13 @@
 Without it retries multiply the load when many endpoints fail.
 
 Rules: retries are limited to a fraction of successes plus a reserve, for
-the fleet and for each caller [1]_, so that one caller's failing requests
+the entry and for each caller [1]_, so that one caller's failing requests
 don't use up the retries of the others.
 
-Not charged: requests not run by an endpoint that is leaving or lost, and
-isolated runs of suspects, which have their own bound. A request that may
-have run is retried only if it is idempotent and nothing of its answer was
-delivered.
+Not charged: retries of requests that did not run because their endpoint is
+leaving or lost, and isolated runs of suspects, which have their own bound.
+A request that may have run is retried only if it is idempotent and nothing
+of its answer was delivered.
 
 References
 ----------
@@ -44,7 +44,7 @@
     def __init__(self, policy: EntryPolicy):
         self._policy = policy
         self._fleet_balance = policy.retry_reserve
-        # Callers below their reserve; the oldest entry is evicted first.
+        # Balances of callers below their reserve; the oldest is evicted.
         self._by_caller: dict[CallerId, float] = {}
 
     def succeeded(self, caller: CallerId) -> None:
--- a/dahliashunt/decisions/slot_allocator.py
+++ b/dahliashunt/decisions/slot_allocator.py
@@ -56,10 +56,10 @@
 
 BATCH_COOLDOWN_MS = 100
 """Milliseconds for which a slot that an online request released is kept from
-batch; about the time between two requests of a burst."""
+batch."""
 
 LOW_PRIORITY_INTERVAL = 4
-"""One in this many grants goes to a less urgent request, if one waits."""
+"""One in this many grants from the queue goes to a less urgent request."""
 
 
 @dataclass(slots=True)
@@ -91,6 +91,7 @@
     hold_ms: float = INITIAL_HOLD_MS
     _holds: SlotHolds = field(default_factory=SlotHolds)
     _waiting_by_id: dict[AttemptId, _Waiting] = field(default_factory=dict)
+    # Pairs of the time until which it counts, and the online holds.
     _recent_online: list[tuple[int, int]] = field(default_factory=list)
     _grants: int = 0
 
@@ -104,11 +105,11 @@
         held = self._holds.by_id.get(ask.attempt_id)
         if held is not None:
             held.renewed_ms = now_ms
-            return [_answer(ask, SlotDecision.GRANTED)]
+            return [_reply(ask, SlotDecision.GRANTED)]
         if ask.attempt_id in self._waiting_by_id:
-            return [_answer(ask, SlotDecision.QUEUED)]
+            return [_reply(ask, SlotDecision.QUEUED)]
         if self.away:
-            return [_answer(ask, SlotDecision.AWAY)]
+            return [_reply(ask, SlotDecision.AWAY)]
         if ask.use is Use.BATCH:
             return self._ask_batch(ask, now_ms)
         return self._ask_online(ask, now_ms)
@@ -118,7 +119,7 @@
         holds = self._holds
         taken = online + holds.count(Use.BATCH) + holds.unmatched
         if self._waiting_by_id or taken >= self.slots:
-            return [_answer(ask, SlotDecision.FULL)]
+            return [_reply(ask, SlotDecision.FULL)]
         return [self._grant(ask, now_ms)]
 
     def _peak_online(self, now_ms):
@@ -136,13 +137,14 @@
             revoked = self._revoke(now_ms)
             if revoked is not None:
                 return [revoked, self._grant(ask, now_ms)]
+        # A slack of 0: the request can't meet its deadline any more.
         max_delay_ms = min(ask.slack_ms, ask.wait_ms) or ask.wait_ms
         if self._expected_delay_ms(ask, now_ms) > max_delay_ms:
-            return [_answer(ask, SlotDecision.FULL)]
+            return [_reply(ask, SlotDecision.FULL)]
         self._waiting_by_id[ask.attempt_id] = _Waiting(
             ask, now_ms + ask.wait_ms, now_ms + ask.slack_ms
         )
-        return [_answer(ask, SlotDecision.QUEUED)]
+        return [_reply(ask, SlotDecision.QUEUED)]
 
     def _expected_delay_ms(self, ask, now_ms):
         """Return the expected queueing delay of `ask`, in ms."""
@@ -215,14 +217,14 @@
 
     def _grant(self, ask, now_ms):
         self._holds.grant(ask, now_ms)
-        return _answer(ask, SlotDecision.GRANTED)
+        return _reply(ask, SlotDecision.GRANTED)
 
     def _grant_waiting(self, now_ms):
         answers = []
         for attempt_id, waiting in list(self._waiting_by_id.items()):
             if waiting.expires_ms < now_ms:
                 del self._waiting_by_id[attempt_id]
-                answers.append(_answer(waiting.ask, SlotDecision.FULL))
+                answers.append(_reply(waiting.ask, SlotDecision.FULL))
         while self._waiting_by_id and self._holds.used < self.slots:
             waiting = self._waiting_by_id.pop(self._next_attempt_id(now_ms))
             answers.append(self._grant(waiting.ask, now_ms))
@@ -244,5 +246,5 @@
         return min(self._waiting_by_id, key=sort_key)
 
 
-def _answer(ask, verdict):
-    return SlotReply(ask.attempt_id, ask.requester, verdict)
+def _reply(ask, decision):
+    return SlotReply(ask.attempt_id, ask.requester, decision)
--- a/dahliashunt/decisions/suspects.py
+++ b/dahliashunt/decisions/suspects.py
@@ -79,7 +79,7 @@
         alone: bool,
         weight: float = 1.0,
     ) -> bool:
-        """Count a crash during a run; return whether it convicts.
+        """Count a crash in a run; return whether it is now convicted.
 
         `weight` is below 1 for a loss that may have had other causes; a
         fingerprint is suspect from a sum of 1.
@@ -106,7 +106,7 @@
         return False
 
     def suspect(self, now: int, fingerprint: Fingerprint) -> None:
-        """Apply a suspicion received from another entry."""
+        """Apply another entry's suspicion, unless there is a record here."""
         if fingerprint not in self._suspicions:
             until_ms = now + self._policy.suspect_for_ms
             self._suspicions[fingerprint] = _Suspicion(1, until_ms)
@@ -157,7 +157,7 @@
 
 
 class SuspectQueue:
-    """Suspects that wait to run alone, shortest job first."""
+    """Suspects of all models that wait to run alone, shortest job first."""
 
     def __init__(self):
         self._by_id: dict[RequestId, TrackedRequest] = {}
--- a/dahliashunt/decisions/suspicion.py
+++ b/dahliashunt/decisions/suspicion.py
@@ -13,7 +13,7 @@
 How
 ---
 Each failure doubles the time for which the replica is asked last, up to a
-bound. Then single requests probe it, and one that is served clears it.
+bound. Then single requests probe it; one that is served ends the avoidance.
 Suspected replicas are still used when no other is left.
 """
 
@@ -22,14 +22,14 @@
 __all__ = ["Suspicion"]
 
 INITIAL_AVOID_MS = 400
-"""Milliseconds of avoidance after one failure; covers a lost connection."""
+"""Milliseconds of avoidance after one failure."""
 
 MAX_AVOID_MS = 3_000
 """Longest avoidance without a probe, in milliseconds."""
 
 SUCCESS_DECAY = 0.5
-"""Factor on the failure score per served request; a replica that fails a
-third of its requests stays suspected."""
+"""Factor on the failure score per served request, and the score below which
+a record is dropped."""
 
 
 @dataclass(slots=True)
@@ -84,7 +84,8 @@
     def probe(self, replica_id, now_ms: int) -> None:
         """Record that a request probes a suspected replica.
 
-        Until it ends, or for `INITIAL_AVOID_MS`, the replica is avoided.
+        The replica is avoided until it serves a request, or for
+        `INITIAL_AVOID_MS`.
         """
         record = self._record_by_id.get(replica_id)
         if record is not None:
--- a/dahliashunt/forwarding/replicas.py
+++ b/dahliashunt/forwarding/replicas.py
@@ -66,7 +66,7 @@
         self._ids_by_address: dict[tuple[str, int], set[str]] = {}
         self._current_by_address: dict[tuple[str, int], str] = {}
         self._usable_by_service: dict[str, tuple[Replica, ...]] = {}
-        self._lapsed_ms_by_id: dict[str, int] = {}
+        self._lapsed_until_ms_by_id: dict[str, int] = {}
         self._warm_at_ms_by_id: dict[str, int] = {}
         self._outage_ended_ms: int | None = None
 
@@ -79,7 +79,8 @@
 
         Of several rows with one address the latest is used: after a crash a
         new replica may start at the address while the old row has not yet
-        expired. Earlier rows are kept, since a list has no time order.
+        expired. Earlier rows are kept, since the rows of a list come in any
+        order.
         """
         replica_id = replica.replica_id
         held = self._replica_by_id.get(replica_id)
@@ -88,7 +89,7 @@
             self._warm_at_ms_by_id[replica_id] = now_ms + replica.warm_in_ms
         else:
             self._warm_at_ms_by_id.pop(replica_id, None)
-        self._lapsed_ms_by_id.pop(replica_id, None)
+        self._lapsed_until_ms_by_id.pop(replica_id, None)
         if held != replica:
             if held is not None and held.address != replica.address:
                 self._remove_from_address(held)
@@ -125,12 +126,12 @@
         ended_ms = self._outage_ended_ms
         if ended_ms is not None and now_ms - ended_ms < OUTAGE_GRACE_MS:
             until_ms = ended_ms + OUTAGE_GRACE_MS
-            self._lapsed_ms_by_id.setdefault(replica_id, until_ms)
+            self._lapsed_until_ms_by_id.setdefault(replica_id, until_ms)
         else:
             self._forget(replica_id)
 
     def replace_all(self, replicas, now_ms: int) -> None:
-        """Replace the list by pairs of replica and version."""
+        """Replace all rows; `replicas` holds pairs of replica and version."""
         listed = {replica.replica_id for replica, _ in replicas}
         for replica_id in list(self._replica_by_id):
             if replica_id not in listed:
@@ -140,13 +141,13 @@
 
     def expire(self, now_ms: int) -> None:
         """Remove lapsed rows that were not renewed in time."""
-        for replica_id, until_ms in list(self._lapsed_ms_by_id.items()):
+        for replica_id, until_ms in list(self._lapsed_until_ms_by_id.items()):
             if now_ms >= until_ms:
                 self._forget(replica_id)
 
     def _forget(self, replica_id):
         replica = self._replica_by_id.pop(replica_id, None)
-        self._lapsed_ms_by_id.pop(replica_id, None)
+        self._lapsed_until_ms_by_id.pop(replica_id, None)
         if replica is not None:
             self._usable_by_service.clear()
             self._remove_from_address(replica)
@@ -156,7 +157,7 @@
     def is_cold(self, replica: Replica, now_ms: int) -> bool:
         """Return whether `replica` is still warming up.
 
-        The list has the remaining time as of its last write.
+        Its warm-up time counts from when its row was last put here.
         """
         warm_at_ms = self._warm_at_ms_by_id.get(replica.replica_id)
         return warm_at_ms is not None and now_ms < warm_at_ms
