--- a/dahliashunt/adapters/engine/exchange.py
+++ b/dahliashunt/adapters/engine/exchange.py
@@ -1,4 +1,4 @@
-"""One request to a back end, with its answer as pieces."""
+"""HTTP requests to a back end, with their responses streamed."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -14,10 +14,10 @@
 from dahliashunt.errors import EngineUnreachable
 from dahliashunt.ports.engine import EngineCall
 
-__all__ = ["EngineExchange", "kept_headers", "sent_headers"]
+__all__ = ["EngineExchange", "request_headers", "response_headers"]
 
 _ATTEMPT_HEADER = "x-request-id"
-_OF_ONE_CONNECTION = frozenset(
+_CONNECTION_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -31,62 +31,64 @@
         "upgrade",
     }
 )
-_NOT_SENT = _OF_ONE_CONNECTION | {"host", _ATTEMPT_HEADER}
-_NOT_KEPT = _OF_ONE_CONNECTION | {"date", "server", _ATTEMPT_HEADER}
+_DROPPED_REQUEST_HEADERS = _CONNECTION_HEADERS | {"host", _ATTEMPT_HEADER}
+_DROPPED_RESPONSE_HEADERS = _CONNECTION_HEADERS | {
+    "date",
+    "server",
+    _ATTEMPT_HEADER,
+}
 
 
-def kept_headers(headers) -> dict[str, str]:
-    """Return the headers that are worth passing on, in lower case.
+def response_headers(headers) -> dict[str, str]:
+    """Return the response headers to pass on, in lower case.
 
-    Repeated ones are joined, which all but Set-Cookie allow.
+    Repeated headers are joined, which all but Set-Cookie allow.
 
     Examples
     --------
-    >>> kept_headers({"Connection": "close", "Retry-After": "2"})
+    >>> response_headers({"Connection": "close", "Retry-After": "2"})
     {'retry-after': '2'}
     """
     kept = {}
     for name, value in headers.items():
         name = name.lower()
-        if name not in _NOT_KEPT:
+        if name not in _DROPPED_RESPONSE_HEADERS:
             kept[name] = f"{kept[name]}, {value}" if name in kept else value
     return kept
 
 
-def sent_headers(call: EngineCall, **defaults: str) -> dict[str, str]:
-    """Return the headers with which a call goes to its back end.
+def request_headers(call: EngineCall, **defaults: str) -> dict[str, str]:
+    """Return the headers of the request to the back end.
 
     Parameters
     ----------
     call : EngineCall
     **defaults : str
-        Headers that are sent if the call has no others; underscores
-        stand for hyphens.
+        Headers that the call may override; underscores stand for hyphens.
 
     Notes
     -----
-    Headers of the caller's own connection are left out. Its length or
-    transfer coding passed on beside our own would let two servers read
-    one request's end at different places.
+    Headers of the caller's own connection are dropped. A second length or
+    transfer coding would allow request smuggling.
 
     Examples
     --------
     >>> call = EngineCall("a1", "POST", "/", b"", {"Host": "x", "Accept": "*"})
-    >>> sent_headers(call, content_type="text/plain")
+    >>> request_headers(call, content_type="text/plain")
     {'content-type': 'text/plain', 'accept': '*', 'x-request-id': 'a1'}
     """
     headers = {
         name.replace("_", "-"): value for name, value in defaults.items()
     }
     for name, value in call.headers.items():
-        if name.lower() not in _NOT_SENT:
+        if name.lower() not in _DROPPED_REQUEST_HEADERS:
             headers[name.lower()] = value
     headers[_ATTEMPT_HEADER] = call.attempt_id
     return headers
 
 
 class EngineExchange:
-    """Requests to one back end; losses become the port's errors.
+    """Requests to one back end, with transport errors as the port's errors.
 
     Parameters
     ----------
@@ -115,7 +117,7 @@
         EngineUnreachable
             Nothing was sent.
         EngineLost
-            The request may have arrived.
+            The request may have arrived, but no complete response came.
         """
         url = self._base_url + path
         try:
--- a/dahliashunt/adapters/engine/http_engine.py
+++ b/dahliashunt/adapters/engine/http_engine.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP, in the OpenAI dialect."""
+"""Model engine over HTTP, in the OpenAI dialect."""
 
 from collections.abc import AsyncIterator
 from dataclasses import asdict
@@ -9,8 +9,8 @@
 from dahliashunt.adapters.engine.dialects import DIALECTS
 from dahliashunt.adapters.engine.dialects import ENGINE_LIMITS
 from dahliashunt.adapters.engine.exchange import EngineExchange
-from dahliashunt.adapters.engine.exchange import kept_headers
-from dahliashunt.adapters.engine.exchange import sent_headers
+from dahliashunt.adapters.engine.exchange import request_headers
+from dahliashunt.adapters.engine.exchange import response_headers
 from dahliashunt.adapters.table.sessions import HttpLimits
 from dahliashunt.errors import EngineError
 from dahliashunt.errors import EngineLost
@@ -25,7 +25,7 @@
 from dahliashunt.ports.engine import LoadedModel
 from dahliashunt.ports.engine import Order
 
-__all__ = ["HttpEngine", "whole_events"]
+__all__ = ["HttpEngine", "complete_events"]
 
 _SSE = "text/event-stream"
 _BLANK_LINE = b"\n\n"
@@ -56,23 +56,23 @@
     async def call(
         self, call: EngineCall, timeout_ms: int
     ) -> AsyncIterator[EngineEvents]:
-        """Send `call`, yield its answer as it comes.
+        """Send `call`; yield its response as it arrives.
 
         Raises
         ------
         EngineUnreachable
             Nothing was sent.
         EngineLost
-            The stream did not come to its last event, ``[DONE]``.
+            The stream ended before its last event, ``[DONE]``.
         """
         async with self._exchange.send(
             call.method,
             call.path,
             timeout_ms,
             data=call.body,
-            headers=sent_headers(call, content_type="application/json"),
+            headers=request_headers(call, content_type="application/json"),
         ) as response:
-            async for events in _answer(response):
+            async for events in _response_events(response):
                 yield events
 
     async def resume(
@@ -93,31 +93,33 @@
                 raise StreamUnknown(attempt_id)
             if response.status != 200:
                 raise EngineLost(f"resume: answered {response.status}")
-            async for events in _answer(response):
+            async for events in _response_events(response):
                 yield events
 
     async def streams(self) -> tuple[AttemptId, ...]:
-        """Return the attempts whose streams the engine still knows."""
-        found = await self._manage("GET", "/engine/streams")
+        """Return the attempts whose streams the engine still holds."""
+        found = await self._call_management("GET", "/engine/streams")
         return tuple(found["streams"])
 
     async def cancel(self, attempt_id: AttemptId) -> None:
-        """Stop a stream; no error if it is gone."""
-        await self._manage("DELETE", _stream_path(attempt_id), _NOT_FOUND)
+        """Stop a stream; do nothing if it is gone."""
+        await self._call_management(
+            "DELETE", _stream_path(attempt_id), _NOT_FOUND
+        )
 
     async def export_kv(self, attempt_id: AttemptId) -> str | None:
-        """Stop a stream and keep its KV cache; return a handle, or None."""
+        """Stop a stream; return a handle to its kept KV cache, or None."""
         path = f"{_stream_path(attempt_id)}/export"
-        found = await self._manage("POST", path, _NOT_FOUND)
+        found = await self._call_management("POST", path, _NOT_FOUND)
         return found and found["handle"]
 
     async def load(self) -> EngineLoad:
-        """Return the engine's lagging load report."""
-        return EngineLoad(**await self._manage("GET", "/engine/load"))
+        """Return the engine's load report, which may lag."""
+        return EngineLoad(**await self._call_management("GET", "/engine/load"))
 
     async def state(self) -> EngineState:
-        """Return what the engine has loaded and its role."""
-        found = await self._manage("GET", "/engine/state")
+        """Return the engine's role and models."""
+        found = await self._call_management("GET", "/engine/state")
         return EngineState(
             incarnation=found["incarnation"],
             role=found["role"],
@@ -128,30 +130,36 @@
         )
 
     async def order(self, order: Order) -> None:
-        """Ask for an end state; raises `StaleFence` where it is checked."""
-        answer = await self._manage(
+        """Request an end state.
+
+        Raises
+        ------
+        StaleFence
+            The engine checks fence tokens and has seen a newer one.
+        """
+        answer = await self._call_management(
             "POST", "/engine/orders", _CONFLICT, json=asdict(order)
         )
         if answer is None:
-            raise StaleFence(f"fence {order.fence}")
+            raise StaleFence(f"engine refused stale fence {order.fence}")
 
     async def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
-        """Return cache events with ``seq > after``, late and with gaps."""
+        """Return cache events with ``seq > after``; some may be missing."""
         path = f"/engine/cache_events?after={after}"
-        found = await self._manage("GET", path)
+        found = await self._call_management("GET", path)
         return tuple(CacheEvent(**each) for each in found["events"])
 
     async def close(self):
         """Close all connections that no call is using."""
         await self._exchange.close()
 
-    async def _manage(self, method, path, none_status=0, **content):
+    async def _call_management(self, method, path, none_status=0, **content):
         """Make a management call; return its JSON, None on `none_status`.
 
         Raises
         ------
         EngineError
-            The engine answered something else.
+            The status or the body is not as expected.
         """
         async with self._exchange.send(method, path, **content) as response:
             data = await response.read()
@@ -165,22 +173,22 @@
             raise EngineError(f"{path}: {error}") from error
 
 
-async def _answer(response) -> AsyncIterator[EngineEvents]:
-    """Yield an answer: a stream by its events, anything else whole."""
-    headers = kept_headers(response.headers)
+async def _response_events(response) -> AsyncIterator[EngineEvents]:
+    """Yield a stream by its events, any other response in one piece."""
+    headers = response_headers(response.headers)
     if response.content_type != _SSE:
         data = await response.read()
         yield EngineEvents(data, 1, response.status, headers)
         return
-    async for data in whole_events(response.content):
+    async for data in complete_events(response.content):
         count = data.count(_BLANK_LINE)
         yield EngineEvents(data, count, response.status, headers)
 
 
-async def whole_events(content) -> AsyncIterator[bytes]:
-    """Yield all whole events of each read.
+async def complete_events(content) -> AsyncIterator[bytes]:
+    """Yield the complete events of each read.
 
-    An event that a read cuts is kept for the next one.
+    The rest of a read is prepended to the next one.
 
     Parameters
     ----------
@@ -189,8 +197,7 @@
     Raises
     ------
     EngineLost
-        The body ended before ``[DONE]``: its engine cut it off, and it
-        would look like a shorter answer.
+        The body ended before ``[DONE]``, so the response is truncated.
     """
     rest = b""
     last = b""
@@ -200,7 +207,7 @@
             last = whole + blank_line
             yield last
     if rest or not last.endswith(_LAST_EVENT):
-        raise EngineLost("the stream ended before its last event")
+        raise EngineLost("the stream ended before its [DONE] event")
 
 
 def _stream_path(attempt_id: AttemptId) -> str:
--- a/dahliashunt/adapters/http1/whole.py
+++ b/dahliashunt/adapters/http1/fetch.py
@@ -1,4 +1,4 @@
-"""One request and its whole answer, within a time limit."""
+"""Send one request and read its complete response within a time limit."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 from dahliashunt.adapters.http1.connection import ResponseHead
 from dahliashunt.ports import Clock
 
-__all__ = ["WholeResponse", "exchange_whole"]
+__all__ = ["HttpResponse", "exchange_whole"]
 
 
 @dataclass(frozen=True, slots=True)
-class WholeResponse:
-    """An answer with its complete body."""
+class HttpResponse:
+    """Response with its complete body."""
 
     head: ResponseHead
     body: bytes
@@ -20,18 +20,18 @@
 
 async def exchange_whole(
     connection: HttpConnection, request: bytes, clock: Clock, limit_ms: int
-) -> WholeResponse | None:
-    """Send `request`; return the answer, or None if none came whole.
+) -> HttpResponse | None:
+    """Send `request`; return its response, or None if it is incomplete.
 
-    A connection that gave no whole answer in `limit_ms` is closed: what
-    it may still deliver would be taken for the answer to a later request.
+    On a timeout the connection is closed, so that a late response is not
+    read as the answer to a later request.
     """
-    box = connection.start(request)
+    mailbox = connection.start(request)
     until_ms = clock.now_ms() + limit_ms
     head = None
     parts = []
     while True:
-        events = await box.take(max(1, until_ms - clock.now_ms()))
+        events = await mailbox.take(max(1, until_ms - clock.now_ms()))
         if not events:
             connection.abort()
             return None
@@ -41,7 +41,7 @@
             elif isinstance(event, End):
                 if event is End.BROKEN or head is None:
                     return None
-                return WholeResponse(head, b"".join(parts))
+                return HttpResponse(head, b"".join(parts))
             else:
                 connection.taken(len(event))
                 parts.append(event)
--- a/dahliashunt/adapters/slots/tests/test_slots.py
+++ b/dahliashunt/adapters/slots/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Entries and an agent over loopback datagrams."""
+"""Slot protocol between entries and an agent over loopback datagrams."""
 
 import asyncio
 
@@ -6,12 +6,12 @@
 import structlog
 
 from dahliashunt.adapters.clock import SystemClock
-from dahliashunt.adapters.slots import Attempt
+from dahliashunt.adapters.slots import SlotAttempt
 from dahliashunt.adapters.slots import SlotClient
 from dahliashunt.adapters.slots import SlotServer
-from dahliashunt.decisions.slot_keeper import SlotKeeper
+from dahliashunt.decisions.slot_allocator import SlotAllocator
+from dahliashunt.decisions.slot_messages import SlotDecision
 from dahliashunt.decisions.slot_messages import Use
-from dahliashunt.decisions.slot_messages import Verdict
 from dahliashunt.metrics import Metrics
 
 LIMIT_S = 10
@@ -23,7 +23,7 @@
     def __init__(self):
         self.clock = SystemClock()
         self.server = SlotServer(
-            SlotKeeper(slots=2),
+            SlotAllocator(slots=2),
             self.clock,
             Metrics("agent-1"),
             structlog.get_logger(),
@@ -43,7 +43,7 @@
         return client
 
     async def ask(self, client, name, use=Use.ONLINE, wait_ms=0):
-        attempt = Attempt(
+        attempt = SlotAttempt(
             name, name, use, 1000, lambda: self.revoked.append(name)
         )
         return await client.ask(attempt, self.address, wait_ms)
@@ -60,7 +60,7 @@
 
 
 @pytest.fixture
-def play():
+def run_scenario():
     def run(scenario):
         async def main():
             fleet = Fleet()
@@ -75,20 +75,20 @@
     return run
 
 
-def test_entries_share_the_slots(play):
+def test_entries_share_the_slots(run_scenario):
     async def scenario(fleet):
         one, two = await fleet.entry(), await fleet.entry()
-        assert await fleet.ask(one, "a") is Verdict.GRANTED
-        assert await fleet.ask(two, "b") is Verdict.GRANTED
-        assert await fleet.ask(one, "c") is Verdict.FULL
+        assert await fleet.ask(one, "a") is SlotDecision.GRANTED
+        assert await fleet.ask(two, "b") is SlotDecision.GRANTED
+        assert await fleet.ask(one, "c") is SlotDecision.FULL
         two.release("b")
-        await fleet.until(lambda: fleet.server.keeper.state().online == 1)
-        assert await fleet.ask(one, "d") is Verdict.GRANTED
+        await fleet.until(lambda: fleet.server.allocator.state().online == 1)
+        assert await fleet.ask(one, "d") is SlotDecision.GRANTED
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_waiting_request_is_granted_when_a_slot_is_released(play):
+def test_a_waiting_request_is_granted_when_a_slot_is_released(run_scenario):
     async def scenario(fleet):
         entry = await fleet.entry()
         for name in "ab":
@@ -96,39 +96,37 @@
         waiting = asyncio.create_task(
             fleet.ask(entry, "c", wait_ms=LIMIT_S * 1000)
         )
-        await fleet.until(lambda: fleet.server.keeper.state().waiting == 1)
+        await fleet.until(lambda: fleet.server.allocator.state().waiting == 1)
         entry.release("a")
-        assert await waiting is Verdict.GRANTED
+        assert await waiting is SlotDecision.GRANTED
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_batch_item_is_told_to_stop(play):
+def test_a_batch_item_is_told_to_stop(run_scenario):
     async def scenario(fleet):
         one, two = await fleet.entry(), await fleet.entry()
         for name in "ij":
             await fleet.ask(one, name, Use.BATCH)
-        assert await fleet.ask(two, "a") is Verdict.GRANTED
+        assert await fleet.ask(two, "a") is SlotDecision.GRANTED
         await fleet.until(lambda: len(fleet.revoked) == 1)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_silent_agent_is_left_alone_for_a_while(play):
-    # The agent's machine is gone. Each request would otherwise lose the
-    # time of all its asks before it goes to the replica directly.
+def test_a_silent_agent_is_left_alone_for_a_while(run_scenario):
+    # Guards against requests that each wait for all sends to a lost agent.
     async def scenario(fleet):
         entry = await fleet.entry()
         fleet.server.stop()
         assert await fleet.ask(entry, "a") is None
         assert entry.is_silent(fleet.address)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_agent_that_is_back_is_heard_before_the_next_renewal(play):
-    # Everything was restarted and entries are up first. Until an agent is
-    # heard a quarter of its replica's slots is used.
+def test_an_agent_that_is_back_is_heard_before_the_next_renewal(run_scenario):
+    # Guards against a restarted agent staying unused until the next renewal.
     async def scenario(fleet):
         entry = await fleet.entry()
         host, port = fleet.address
@@ -141,12 +139,11 @@
         await fleet.until(lambda: not entry.is_silent(fleet.address))
         assert fleet.address in entry.known_by_address
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_quiet_agent_is_not_taken_for_a_silent_one(play):
-    # Nothing changes at a replica for a minute, so that its agent has no
-    # news. It answers renewals all the same.
+def test_a_quiet_agent_is_not_taken_for_a_silent_one(run_scenario):
+    # Guards against treating an agent without state changes as silent.
     async def scenario(fleet):
         entry = await fleet.entry()
         for _ in range(3):
@@ -156,20 +153,20 @@
             assert not entry.is_silent(fleet.address)
         assert known is not None
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_agent_that_starts_is_known_at_the_next_renewal(play):
+def test_an_agent_that_starts_is_known_at_the_next_renewal(run_scenario):
     async def scenario(fleet):
         entry = await fleet.entry()
         entry.renew({fleet.address})
         await fleet.until(lambda: fleet.address in entry.known_by_address)
         assert entry.known_by_address[fleet.address].state.slots == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_bytes_of_a_foreign_sender_are_dropped(play):
+def test_bytes_of_a_foreign_sender_are_dropped(run_scenario):
     async def scenario(fleet):
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
@@ -177,7 +174,7 @@
         )
         transport.sendto(b"\x82\xff nonsense")
         entry = await fleet.entry()
-        assert await fleet.ask(entry, "a") is Verdict.GRANTED
+        assert await fleet.ask(entry, "a") is SlotDecision.GRANTED
         transport.close()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/dahliashunt/adapters/slots/use.py
+++ b/dahliashunt/adapters/slots/usage_codec.py
@@ -1,10 +1,10 @@
-"""Reports and readings of workspaces' use, as they go over the wire."""
+"""Encode and decode workspaces' usage reports and readings."""
 
 from dahliashunt.adapters.wire.gen.link.ttypes import UseLimit
 from dahliashunt.adapters.wire.gen.link.ttypes import UseReading
 from dahliashunt.adapters.wire.gen.link.ttypes import UseReport
-from dahliashunt.decisions.meter_messages import Reading
-from dahliashunt.decisions.meter_messages import Report
+from dahliashunt.decisions.meter_messages import UsageReading
+from dahliashunt.decisions.meter_messages import UsageReport
 from dahliashunt.decisions.rate_limits import RateLimit
 from dahliashunt.ids import Revision
 
@@ -15,12 +15,12 @@
     "encode_report",
 ]
 
-LEAST_RATE = 0.001
-"""Requests a second; waits are divided by it."""
+MIN_RATE = 0.001
+"""Lower bound of a rate in requests a second, since waits divide by it."""
 
 
-def encode_report(report: Report) -> UseReport:
-    """Return the wire's form of `report`."""
+def encode_report(report: UsageReport) -> UseReport:
+    """Return `report` as a thrift struct."""
     return UseReport(
         workspace=report.workspace,
         life=report.life,
@@ -34,9 +34,9 @@
     )
 
 
-def decode_report(wire: UseReport) -> Report:
-    """Return the report in `wire`; a field that is missing counts as 0."""
-    return Report(
+def decode_report(wire: UseReport) -> UsageReport:
+    """Return the report in `wire`; a missing field counts as 0."""
+    return UsageReport(
         workspace=wire.workspace or 0,
         life=wire.life or 0,
         sequence=wire.sequence or 0,
@@ -47,8 +47,8 @@
     )
 
 
-def encode_reading(reading: Reading) -> UseReading:
-    """Return the wire's form of `reading`."""
+def encode_reading(reading: UsageReading) -> UseReading:
+    """Return `reading` as a thrift struct."""
     newer = reading.newer
     return UseReading(
         workspace=reading.workspace,
@@ -64,9 +64,9 @@
     )
 
 
-def decode_reading(wire: UseReading) -> Reading:
-    """Return the reading in `wire`; a field that is missing counts as 0."""
-    return Reading(
+def decode_reading(wire: UseReading) -> UsageReading:
+    """Return the reading in `wire`; a missing field counts as 0."""
+    return UsageReading(
         workspace=wire.workspace or 0,
         life=wire.life or 0,
         sequence=wire.sequence or 0,
@@ -82,7 +82,7 @@
 
 def _limit(wire):
     return RateLimit(
-        rate=max(LEAST_RATE, wire.rate or 0.0),
+        rate=max(MIN_RATE, wire.rate or 0.0),
         room=wire.room or 0.0,
         revision=Revision(wire.revision or 0),
     )
--- a/dahliashunt/adapters/table/tests/test_table.py
+++ b/dahliashunt/adapters/table/tests/test_table.py
@@ -14,13 +14,13 @@
 from dahliashunt.ports.table import Write
 from dahliashunt.standins import serve_role
 
-SHORT = HttpLimits(connect_ms=200, idle_ms=100, total_ms=500)
+SHORT_LIMITS = HttpLimits(connect_ms=200, idle_ms=100, total_ms=500)
 
 
 @contextlib.asynccontextmanager
 async def http_table(**options):
     async with serve_role("table", **options) as standin:
-        table = HttpTableService(standin.url, SHORT)
+        table = HttpTableService(standin.url, SHORT_LIMITS)
         yield table, standin.app.faults
         await table.close()
 
@@ -33,7 +33,7 @@
 
 @pytest.fixture(params=[http_table, memory_table], ids=["http", "memory"])
 def on_table(request):
-    """Run a test's coroutine on each kind of table."""
+    """Run a test's coroutine on each table adapter."""
 
     def run(test):
         async def body():
@@ -109,9 +109,7 @@
 
 
 def test_a_lost_answer_leaves_the_outcome_unknown(on_table):
-    # An operator's change is written, and the answer is lost on the way.
-    # Were it reported as "no effect", the change would be sent again or
-    # refused to the operator while it is in force.
+    # Guards against reporting a write that took effect as failed.
     async def test(table, faults):
         faults.drop_answers = 1
         with pytest.raises(WriteOutcomeUnknown):
@@ -140,7 +138,7 @@
     async def test():
         async with serve_role("table") as standin:
             url = standin.url
-        table = HttpTableService(url, SHORT)
+        table = HttpTableService(url, SHORT_LIMITS)
         with pytest.raises(PlatformUnavailable):
             await table.transact((Write("a", "1"),))
         with pytest.raises(PlatformUnavailable):
@@ -151,9 +149,8 @@
 
 
 def test_after_a_silence_the_next_call_uses_a_new_connection():
-    # A firewall forgets the open connections to the table; the table is
-    # well. Every call on a kept connection would wait for its time limit,
-    # one after the other, until the last of them was used up.
+    # Guards against calls that time out one after the other on pooled
+    # connections whose state a firewall has dropped.
     async def test():
         async with http_table() as (table, faults):
             calls = [table.read("a") for _ in range(5)]
--- a/dahliashunt/decisions/__init__.py
+++ b/dahliashunt/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions under load: pure code, events and time in, decisions out."""
+"""Load decisions without I/O: events and time in, decisions out."""
 
 from dahliashunt.lazy import lazy_names
 
@@ -7,7 +7,7 @@
     "AgentPolicy": "agent_policy",
     "BatchOrder": "batch_order",
     "BatchOrderPolicy": "batch_order",
-    "BatchPlaces": "batch_places",
+    "BatchPlacement": "batch_placement",
     "BatchSuspects": "batch_suspects",
     "EntryDecisions": "entry",
     "EntryPolicy": "entry_policy",
--- a/dahliashunt/decisions/agent_decider.py
+++ b/dahliashunt/decisions/agent_decider.py
@@ -1,57 +1,57 @@
-"""What an agent starts, stops and refuses, from all that it knows.
-
-Load pattern: a burst of online work on an engine that batch fills, and
-online work above what the engine gives. In this order: what can't start in
-time is refused, work that must run alone holds the rest up, online starts
-or is given room, batch gives back what it has too much, batch starts.
-
-Without the order a batch stream takes the place that an online one was
-about to get. Without room for a whole burst at once the last of eight
-callers waits eight steps, half a second of the 0.76 s that are promised.
-A long prompt that finds no room beside online work is passed by the ones
-behind it: when it was not, batch fell from 31,854 tokens in 60 s to 2,662.
+"""Start, preemption and refusal of the streams of one agent.
+
+Load pattern: a burst of online work on an engine that batch fills, and online
+load above the capacity of the engine.
+
+Each decision goes in this order: refuse streams that can't start in time, let
+work that must run alone block the rest, start online streams or free room for
+them, preempt excess batch, start batch.
+
+Without this order a batch stream takes the room that was freed for an online
+one. Without room for a whole burst at once its last request waits a step for
+each earlier one.
 """
 
 from collections import deque
 from itertools import islice
 
 from dahliashunt.decisions.agent_policy import AgentPolicy
-from dahliashunt.decisions.agent_waiting import Waiting
-from dahliashunt.decisions.drain import Drain
+from dahliashunt.decisions.agent_waiting import WaitingStreams
 from dahliashunt.decisions.events import Preempt
+from dahliashunt.decisions.events import RefuseAttempt
 from dahliashunt.decisions.events import Start
-from dahliashunt.decisions.events import TurnAway
 from dahliashunt.decisions.gate import IdleCapacity
 from dahliashunt.decisions.gate import Shortfall
 from dahliashunt.decisions.preemption import resume_prefill
-from dahliashunt.decisions.running import Running
+from dahliashunt.decisions.running import RunningStreams
 from dahliashunt.decisions.step_model import StepModel
 from dahliashunt.decisions.streams import Stream
+from dahliashunt.decisions.wait_estimator import WaitEstimator
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import Ran
 from dahliashunt.ids import AttemptId
 
 __all__ = ["Decider", "Decision"]
 
-Decision = Start | TurnAway | Preempt
-"""What the agent process carries out."""
+Decision = Start | RefuseAttempt | Preempt
+"""Decision that the agent process carries out."""
 
 
 class Decider:
-    """Decides over the streams that wait and those that run.
+    """Decisions on the waiting and the running streams.
 
     Attributes
     ----------
     gate : IdleCapacity
-        The gate, or one of its baselines.
-    running : Running
+        Admission gate, or one of its baselines.
+    running : RunningStreams
         Streams in the engine.
-    waiting : Waiting
-        Streams that are not.
-    drain : Drain
-        When a waiting stream would start.
+    waiting : WaitingStreams
+        Streams that wait to be started.
+    wait_estimator : WaitEstimator
+        Estimate of queue waits and Retry-After.
     by_id : dict of AttemptId to Stream
-        All of them.
+        All streams, waiting and running.
     """
 
     def __init__(
@@ -59,22 +59,22 @@
         policy: AgentPolicy,
         model: StepModel,
         gate: IdleCapacity,
-        running: Running,
-        drain: Drain,
+        running: RunningStreams,
+        wait_estimator: WaitEstimator,
     ):
         self._policy = policy
         self._model = model
         self.gate = gate
         self.running = running
-        self.drain = drain
-        self.waiting = Waiting()
+        self.wait_estimator = wait_estimator
+        self.waiting = WaitingStreams()
         self.by_id: dict[AttemptId, Stream] = {}
 
     def decide(self, now: int) -> list[Decision]:
-        """Return what to start, stop and refuse now."""
-        self.gate.look(now, self.running.occupancy)
+        """Return the streams to start, preempt and refuse now."""
+        self.gate.update_activity(now, self.running.occupancy)
         decisions: list[Decision] = self._expire(now)
-        if self.alone_holds():
+        if self.alone_blocks_others():
             self._decide_alone(now, decisions)
             return decisions
         self._start_online(now, decisions)
@@ -85,7 +85,7 @@
                 decisions += self.running.stop(excess)
                 return decisions
         if self.waiting.batch and not self.waiting.online:
-            if not self.gate.batch_closed(occupancy):
+            if not self.gate.batch_blocked(occupancy):
                 self._start_batch(now, decisions)
             decisions += self._refuse_long(now)
         return decisions
@@ -98,67 +98,70 @@
             if self.gate.online_blocked(stream, occupancy):
                 self._refuse_late(now, decisions)
                 return
-            if self.gate.online_short((stream,), occupancy):
+            if self.gate.online_shortfall((stream,), occupancy):
                 decisions += self._make_room()
                 return
             online.popleft()
             decisions.append(self.running.start(now, stream))
 
     def _make_room(self) -> list[Preempt]:
-        """Stop batch for all the online work that waits, at once."""
+        """Preempt batch for all waiting online streams at once."""
         if not self.gate.preempts:
             return []
         occupancy = self.running.occupancy
-        most = max(1, self.gate.max_running - occupancy.online)
-        waiting = tuple(islice(self.waiting.online, most))
-        short = self.gate.online_short(waiting, occupancy)
+        max_streams = max(1, self.gate.max_running - occupancy.online)
+        waiting = tuple(islice(self.waiting.online, max_streams))
+        shortfall = self.gate.online_shortfall(waiting, occupancy)
         missing = Shortfall(
-            max(0, short.slots - occupancy.stopping),
-            max(0, short.kv_tokens - occupancy.kv_stopping),
+            max(0, shortfall.slots - occupancy.stopping),
+            max(0, shortfall.kv_tokens - occupancy.kv_stopping),
         )
         return self.running.stop(missing) if missing else []
 
     def _start_batch(self, now: int, decisions: list[Decision]) -> None:
         batch = self.waiting.batch
         occupancy = self.running.occupancy
-        usual = self.gate.usual_prompt_tokens()
-        place = 0
-        while place < len(batch):
-            stream = batch[place]
+        short_limit = self.gate.short_prompt_tokens()
+        index = 0
+        while index < len(batch):
+            stream = batch[index]
             stream.prefill = resume_prefill(stream, self._policy)
             if self.gate.batch_fits(now, stream, occupancy):
-                del batch[place]
+                del batch[index]
                 self.gate.batch_started(now, stream, occupancy)
                 decisions.append(self.running.start(now, stream))
                 continue
-            # A long prompt that must wait for an idle engine would keep
-            # the short ones behind it waiting, and the room unused.
-            if stream.prefill <= usual:
+            # Skip a long prompt: it would block shorter ones that fit.
+            if stream.prefill <= short_limit:
                 break
-            place += 1
+            index += 1
 
-    def _refuse_long(self, now: int) -> list[TurnAway]:
-        """Refuse long prompts that would fill the places held for batch.
+    def _refuse_long(self, now: int) -> list[RefuseAttempt]:
+        """Refuse long prompts beyond half of the batch queue.
 
-        Beside steady online work some never find room; all places held by
-        them would end batch here for good.
+        Beside steady online work they may never fit, and a queue full of
+        them would stop batch.
         """
         policy = self._policy
-        if len(self.waiting.batch) <= policy.most_held_items // 2:
+        if len(self.waiting.batch) <= policy.max_held_items // 2:
             return []
-        usual = self.gate.usual_prompt_tokens()
-        long = [s for s in self.waiting.batch if s.prefill > usual]
+        short_limit = self.gate.short_prompt_tokens()
+        long_prompts = [
+            s for s in self.waiting.batch if s.prefill > short_limit
+        ]
         refused = []
-        for stream in long[policy.most_held_items // 2 :]:
+        for stream in long_prompts[policy.max_held_items // 2 :]:
             if stream.preemptions:
                 continue
-            self.waiting.drop(stream)
-            after = policy.long_retry_ms
-            refused.append(self.turn_away(stream, ErrorKind.OVERLOADED, after))
+            self.waiting.remove(stream)
+            retry_after_ms = policy.long_retry_ms
+            refused.append(
+                self.refuse(stream, ErrorKind.OVERLOADED, retry_after_ms)
+            )
         return refused
 
-    def alone_holds(self) -> bool:
-        """Return whether work that must run alone holds up the rest."""
+    def alone_blocks_others(self) -> bool:
+        """Return whether work that must run alone blocks the rest."""
         if self.running.alone is not None:
             return True
         if not self.waiting.alone:
@@ -177,60 +180,67 @@
             decisions.append(self.running.start(now, waiting.alone.popleft()))
         else:
             decisions += self.running.stop_all()
-        # Behind a batch stream that is being stopped online waits a step.
+        # Online work waits only a step for a batch stream being preempted.
         if waiting.online and (alone is None or alone.online):
             self._refuse_late(now, decisions)
 
     def _refuse_late(self, now: int, decisions: list[Decision]) -> None:
-        """Refuse waiting online work that can't start in time, now."""
-        gap, first = self._drain_ms()
+        """Refuse waiting online streams that can't start in time."""
+        gap, initial_wait = self._drain_ms()
         kept: deque[Stream] = deque()
         for stream in self.waiting.online:
-            wait = self.drain.wait_ms(len(kept) + 1, gap, stream.admitted)
+            wait = self.wait_estimator.wait_ms(
+                len(kept) + 1, gap, stream.admitted
+            )
             full = len(kept) >= self._policy.max_waiting_online
-            if now + first + wait <= stream.work.start_by_ms and not full:
+            if (
+                now + initial_wait + wait <= stream.work.start_by_ms
+                and not full
+            ):
                 stream.admitted = True
                 kept.append(stream)
                 continue
-            after = self.drain.retry_after_ms(now, len(kept), gap)
+            retry_after_ms = self.wait_estimator.retry_after_ms(
+                now, len(kept), gap
+            )
             decisions.append(
-                self.turn_away(stream, ErrorKind.OVERLOADED, after)
+                self.refuse(stream, ErrorKind.OVERLOADED, retry_after_ms)
             )
         self.waiting.online = kept
 
     def _drain_ms(self) -> tuple[float, float]:
-        """Return the gap between ends of streams, and the wait before."""
+        """Return the interval between stream ends, and the wait before it."""
         occupancy = self.running.occupancy
         step = self._model.predict(occupancy.online, occupancy.kv_online)
-        gap = self.drain.gap_ms(occupancy.online, step)
-        if not self.alone_holds():
+        gap = self.wait_estimator.gap_ms(occupancy.online, step)
+        if not self.alone_blocks_others():
             return gap, 0.0
         alone = self.running.alone
         if alone is not None and not alone.online:
             return gap, step
-        # The running streams end, then the one alone runs to its end.
-        runs = 1 if alone is not None else 1 + (occupancy.online > 0)
-        return gap, runs * self.drain.gap_ms(1, step)
+        # The running streams end, then the exclusive one runs to its end.
+        runs_before = 1 if alone is not None else 1 + (occupancy.online > 0)
+        return gap, runs_before * self.wait_estimator.gap_ms(1, step)
 
     def _expire(self, now: int) -> list[Decision]:
-        late = self.waiting.expired(now)
-        if not late:
+        expired = self.waiting.expired(now)
+        if not expired:
             return []
-        gap, first = self._drain_ms()
+        gap, initial_wait = self._drain_ms()
         return [
-            self.turn_away(
+            self.refuse(
                 stream,
                 ErrorKind.OVERLOADED,
-                self.drain.retry_after_ms(now, 0, gap + first),
+                self.wait_estimator.retry_after_ms(now, 0, gap + initial_wait),
             )
-            for stream in late
+            for stream in expired
         ]
 
-    def turn_away(
+    def refuse(
         self, stream: Stream, kind: ErrorKind, after_ms: int
-    ) -> TurnAway:
-        """Return the refusal of a waiting stream, which is forgotten."""
+    ) -> RefuseAttempt:
+        """Remove a waiting stream and return its refusal."""
         del self.by_id[stream.work.attempt_id]
-        # A preempted stream had begun, so it may not be called "not run".
+        # A preempted stream has run, so it can't be reported as not run.
         ran = Ran.YES if stream.preemptions else Ran.NO
-        return TurnAway(stream.work.attempt_id, kind, after_ms, ran)
+        return RefuseAttempt(stream.work.attempt_id, kind, after_ms, ran)
--- a/dahliashunt/decisions/batch_suspects.py
+++ b/dahliashunt/decisions/batch_suspects.py
@@ -1,13 +1,14 @@
-"""Batch items that may crash each endpoint that runs them.
+"""Isolation of batch items that crash the engines that run them.
 
-Load pattern: one item of a large job is poisoned. It crashes the engine
-with all its neighbours, is tried again beside other neighbours, and takes
-the fleet down one engine at a time, while its innocent neighbours use up
-their attempts beside it.
+Load pattern: one item of a large job crashes the engine and every item beside
+it, and is retried beside others.
 
-After a crash each item that was in flight there runs alone until it has
-ended without one; a second crash alone convicts. So one item costs two
-engines, and an innocent neighbour one more try.
+Without it one item crashes endpoint after endpoint, and the items beside it
+use up their attempts.
+
+After a crash each item that was in flight on the endpoint runs alone until it
+has ended without a crash; a crash while it runs alone convicts it. One item
+thus crashes two engines, and each item beside it runs one more time.
 """
 
 import enum
@@ -17,56 +18,56 @@
 from dahliashunt.decisions.suspects import Suspects
 from dahliashunt.ids import Fingerprint
 
-__all__ = ["BatchSuspects", "RunHow"]
+__all__ = ["BatchSuspects", "RunMode"]
 
 
-class RunHow(enum.Enum):
+class RunMode(enum.Enum):
     """How an item may run."""
 
-    BESIDE_OTHERS = "beside_others"
+    SHARED = "beside_others"
     ALONE = "alone"
-    NOT_AT_ALL = "not_at_all"
+    REFUSED = "not_at_all"
 
 
 class BatchSuspects:
-    """Crashes by fingerprint of batch items.
+    """Crash records of batch items by fingerprint.
 
     Examples
     --------
     >>> suspects = BatchSuspects(EntryPolicy())
     >>> suspects.how(0, "bad")
-    <RunHow.BESIDE_OTHERS: 'beside_others'>
+    <RunMode.SHARED: 'beside_others'>
     >>> suspects.crashed(1, "bad", alone=False)
     >>> suspects.how(2, "bad")
-    <RunHow.ALONE: 'alone'>
+    <RunMode.ALONE: 'alone'>
     >>> suspects.crashed(3, "bad", alone=True)
     >>> suspects.how(4, "bad")
-    <RunHow.NOT_AT_ALL: 'not_at_all'>
+    <RunMode.REFUSED: 'not_at_all'>
     """
 
     def __init__(self, policy: EntryPolicy):
         self._suspects = Suspects(policy)
 
-    def how(self, now: int, fingerprint: Fingerprint) -> RunHow:
+    def how(self, now: int, fingerprint: Fingerprint) -> RunMode:
         """Return how an item may run."""
         if self._suspects.convicted_until(now, fingerprint) is not None:
-            return RunHow.NOT_AT_ALL
+            return RunMode.REFUSED
         if self._suspects.is_suspect(now, fingerprint):
-            return RunHow.ALONE
-        return RunHow.BESIDE_OTHERS
+            return RunMode.ALONE
+        return RunMode.SHARED
 
     def crashed(self, now: int, fingerprint: Fingerprint, alone: bool) -> None:
-        """Note that the endpoint crashed while the item ran."""
+        """Record a crash of the endpoint while the item ran."""
         self._suspects.crashed(now, fingerprint, alone)
 
     def ended(self, fingerprint: Fingerprint) -> None:
-        """Note that the item ran to its end."""
+        """Clear the item, which ended without a crash."""
         self._suspects.cleared(fingerprint)
 
     def convict(self, now: int, fingerprint: Fingerprint, for_ms: int):
-        """Take a conviction from elsewhere."""
+        """Apply a conviction made by another entry."""
         self._suspects.convict(now, fingerprint, for_ms)
 
     def new_convictions(self) -> list[Conviction]:
-        """Return the convictions to be shared, and forget them."""
+        """Return the new convictions to share, and clear the list."""
         return self._suspects.take_new()
--- a/dahliashunt/decisions/entry_state.py
+++ b/dahliashunt/decisions/entry_state.py
@@ -1,4 +1,4 @@
-"""What the entry's decisions share and remember."""
+"""State shared by the parts of the entry's decisions."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -8,15 +8,15 @@
 from dahliashunt.decisions.entry_policy import EntryPolicy
 from dahliashunt.decisions.fair import InFlight
 from dahliashunt.decisions.fleet import Fleet
-from dahliashunt.decisions.limits import Buckets
 from dahliashunt.decisions.limits import LimitsTable
+from dahliashunt.decisions.limits import TokenBuckets
 from dahliashunt.decisions.model_state import ModelState
 from dahliashunt.decisions.prefix import PrefixIndex
 from dahliashunt.decisions.retry import RetryBudget
 from dahliashunt.decisions.routing import Router
-from dahliashunt.decisions.suspects import SuspectLane
+from dahliashunt.decisions.suspects import SuspectQueue
 from dahliashunt.decisions.suspects import Suspects
-from dahliashunt.decisions.tracked import Tracked
+from dahliashunt.decisions.tracked import TrackedRequest
 from dahliashunt.errors import ErrorKind
 from dahliashunt.ids import DataCentreId
 from dahliashunt.ids import EndpointId
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointStatus:
-    """One endpoint, for people to read."""
+    """Status of one endpoint, for display."""
 
     endpoint_id: EndpointId
     data_centre: DataCentreId
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryStatus:
-    """The entry's decisions, for people to read."""
+    """Status of the entry's decisions, for display."""
 
     in_flight: int
     suspects_waiting: int
@@ -51,7 +51,7 @@
 
 
 class EntryState:
-    """Everything that the parts of the entry's decisions share."""
+    """Shared state of the entry's decisions."""
 
     def __init__(
         self,
@@ -69,18 +69,18 @@
         )
         self.router = Router(policy, self.fleet, self.prefixes, rng)
         self.limits = LimitsTable()
-        self.buckets = Buckets()
+        self.buckets = TokenBuckets()
         self.in_flight = InFlight(policy.over_share)
         self.budget = RetryBudget(policy)
         self.suspects = Suspects(policy)
-        self.lane = SuspectLane()
-        self.tracked_by_id: dict[RequestId, Tracked] = {}
+        self.suspect_queue = SuspectQueue()
+        self.tracked_by_id: dict[RequestId, TrackedRequest] = {}
         self.state_by_model: dict[ModelId, ModelState] = {}
         self.refused_by_kind: Counter[ErrorKind] = Counter()
         self.sequence = 0
 
     def model(self, model: ModelId) -> ModelState:
-        """Return the state of `model`, a new one at first."""
+        """Return the state of `model`, created at first use."""
         state = self.state_by_model.get(model)
         if state is None:
             state = ModelState(self.policy)
--- a/dahliashunt/decisions/prefix.py
+++ b/dahliashunt/decisions/prefix.py
@@ -1,21 +1,19 @@
-"""Which endpoints probably hold which prompt prefixes.
+"""Index of the endpoints that probably cache a prompt prefix.
 
-Load pattern: conversations and shared openings, whose prefill is cheap
-where the prefix is cached. Cache events come late and with gaps.
+Load pattern: conversations and shared system prompts, whose prefill is
+cheap where the prefix is cached. Cache events arrive late and with gaps.
 
-Without it requests find their prefixes by chance, and prefills that were
-done elsewhere delay first tokens.
+Without it requests hit cached prefixes by chance, and repeated prefills
+delay first tokens.
 
-What an endpoint's report lists counts until a later report leaves it out.
-What this entry sent there itself counts at once, for 30 s, since the
-report that shows it may be lost; an empty report says nothing. The index
-is a guess for routing only: a wrong one costs a prefill, never an answer.
+How: a reported prefix counts until a later report omits it; an empty report
+is ignored. A dispatched prefix counts at once for a limited time, since the
+report that confirms it may be lost. A wrong entry costs a prefill, never an
+answer.
 
-Memory: 20,000 prefixes in all, about 8 MB, in equal parts for each
-endpoint. A report's prefixes are looked at once a second at most, as
-comparing two sets of 2,000 takes about 100 microseconds. Of a long prompt
-only blocks at depths that grow by a half are looked at, some twenty for
-2,000 blocks, so that a match is known to within a third.
+Complexity: O(log n) lookups for n blocks, at depths that grow by a half, so
+that a match is exact to within a third. Memory is bounded in total and
+divided equally between endpoints.
 """
 
 from functools import lru_cache
@@ -27,11 +25,7 @@
 
 @lru_cache(maxsize=1_024)
 def _depths(length: int) -> tuple[int, ...]:
-    """Return the depths that are looked at, deepest first.
-
-    They grow by a half, so that a prompt of thousands of blocks costs
-    some twenty steps and a match is known to within a third.
-    """
+    """Return the sampled depths, deepest first."""
     depths = {length} if length else set()
     depth = 1
     while depth < length:
@@ -41,24 +35,24 @@
 
 
 class PrefixIndex:
-    """Endpoints by cached prefix, from reports and from own dispatches.
+    """Endpoints by cached prefix, from reports and own dispatches.
 
     Parameters
     ----------
     sent_ms : int
-        How long an own dispatch counts without a report that shows it.
+        Time for which a dispatch counts without a confirming report.
     total : int
-        Most prefixes remembered; each endpoint has an equal part of it.
+        Maximum number of prefixes, divided equally between endpoints.
     report_ms : int
-        A report's prefixes are looked at so often at most, for
-        comparing two sets takes about 100 microseconds.
+        Minimum interval between evaluated reports of an endpoint, since
+        comparing large sets is slow.
 
     Examples
     --------
     >>> index = PrefixIndex(sent_ms=30_000, total=100, report_ms=0)
-    >>> index.sent(0, "a", (1, 2))
-    >>> index.sent(0, "b", (1,))
-    >>> index.depths(10, (1, 2, 3))
+    >>> index.record_dispatch(0, "a", (1, 2))
+    >>> index.record_dispatch(0, "b", (1,))
+    >>> index.cached_depths(10, (1, 2, 3))
     {'a': 2, 'b': 1}
     """
 
@@ -71,10 +65,10 @@
         self._sent_by_id: dict[EndpointId, dict[int, None]] = {}
         self._next_report_ms_by_id: dict[EndpointId, int] = {}
 
-    def sent(
+    def record_dispatch(
         self, now: int, endpoint_id: EndpointId, keys: tuple[int, ...]
     ) -> None:
-        """Note that a prompt with `keys` went to the endpoint."""
+        """Record that a prompt with `keys` was sent to the endpoint."""
         sent = self._sent_by_id.setdefault(endpoint_id, {})
         by_key = self._holders_by_key
         until = now + self._sent_ms
@@ -89,7 +83,7 @@
                 holders[endpoint_id] = until
                 sent.pop(key, None)
             sent[key] = None
-        for _ in range(len(sent) - self._each()):
+        for _ in range(len(sent) - self._quota_per_endpoint()):
             key = next(iter(sent))
             del sent[key]
             self._forget(key, endpoint_id)
@@ -97,13 +91,13 @@
     def report(
         self, now: int, endpoint_id: EndpointId, cached: frozenset[int]
     ) -> None:
-        """Take what the endpoint's cache events say; empty says nothing."""
+        """Replace the reported prefixes; an empty report is ignored."""
         if not cached or now < self._next_report_ms_by_id.get(endpoint_id, 0):
             return
         self._next_report_ms_by_id[endpoint_id] = now + self._report_ms
         old = self._reported_by_id.get(endpoint_id, frozenset())
-        if len(cached) > self._each():
-            cached = frozenset(sorted(cached)[: self._each()])
+        if len(cached) > self._quota_per_endpoint():
+            cached = frozenset(sorted(cached)[: self._quota_per_endpoint()])
         self._reported_by_id[endpoint_id] = cached
         for key in old - cached:
             self._forget(key, endpoint_id)
@@ -112,16 +106,18 @@
             sent.pop(key, None)
             self._holders_by_key.setdefault(key, {})[endpoint_id] = None
 
-    def gone(self, endpoint_id: EndpointId) -> None:
-        """Forget an endpoint, whose cache goes with it."""
+    def forget_endpoint(self, endpoint_id: EndpointId) -> None:
+        """Remove an endpoint and its prefixes."""
         self._next_report_ms_by_id.pop(endpoint_id, None)
         for key in self._reported_by_id.pop(endpoint_id, ()):
             self._forget(key, endpoint_id)
         for key in self._sent_by_id.pop(endpoint_id, {}):
             self._forget(key, endpoint_id)
 
-    def depths(self, now: int, keys: tuple[int, ...]) -> dict[EndpointId, int]:
-        """Return how many of `keys` each holder has, deepest first."""
+    def cached_depths(
+        self, now: int, keys: tuple[int, ...]
+    ) -> dict[EndpointId, int]:
+        """Return how many of `keys` each holder caches, deepest first."""
         depth_by_id: dict[EndpointId, int] = {}
         for depth in _depths(len(keys)):
             holders = self._holders_by_key.get(keys[depth - 1])
@@ -134,10 +130,10 @@
                     depth_by_id[endpoint_id] = depth
         return depth_by_id
 
-    def held_part(
+    def cached_fraction(
         self, now: int, endpoint_id: EndpointId, keys: tuple[int, ...]
     ) -> float:
-        """Return which part of a prompt with `keys` is cached there."""
+        """Return the fraction of `keys` that the endpoint caches."""
         for depth in _depths(len(keys)):
             holders = self._holders_by_key.get(keys[depth - 1])
             if holders and endpoint_id in holders:
@@ -149,9 +145,11 @@
     def __len__(self) -> int:
         return len(self._holders_by_key)
 
-    def _each(self) -> int:
-        known = max(len(self._sent_by_id), len(self._reported_by_id), 1)
-        return self._total // (2 * known)
+    def _quota_per_endpoint(self) -> int:
+        endpoint_count = max(
+            len(self._sent_by_id), len(self._reported_by_id), 1
+        )
+        return self._total // (2 * endpoint_count)
 
     def _forget(self, key: int, endpoint_id: EndpointId) -> None:
         holders = self._holders_by_key.get(key)
--- a/dahliashunt/decisions/rate_limits.py
+++ b/dahliashunt/decisions/rate_limits.py
@@ -1,23 +1,23 @@
-"""Rate limits of workspaces that bind all entries together.
+"""Rate limits of workspaces, enforced across all entries.
 
 Load pattern
 ------------
-A workspace has a rate and a burst, and its requests come to any of many
-entries, unevenly: a caller keeps its connection to one entry. Now and then
-a workspace sends several times what it may.
+A workspace has a rate and a burst. Its requests reach many entries,
+unevenly, because a caller keeps its connection to one entry. Occasionally a
+workspace sends several times its limit.
 
 What goes wrong without it
 --------------------------
-Counted by each entry alone against the whole limit, a workspace gets its
-limit once for every entry. Counted against an equal share, it is refused
-most of what it may send, since its callers hang on few entries.
+If each entry enforces the whole limit, a workspace gets its limit once per
+entry. If each enforces an equal share, a workspace whose callers use few
+entries is refused most of what it may send.
 
 Policies
 --------
-`CAPS` holds them by name, all with the methods of `EqualShare`. A take is
-answered at once (`ADMITTED`, or a `Refused` with the time to come back), or
-by an `Asked`, whose outcome comes from `heard` or `tick`. Messages to meters
-are collected by `outbox`.
+`RATE_LIMIT_POLICIES` registers them by name; all have the methods of
+`EqualShare`. `take` returns `RateLimitVerdict.ADMITTED`, a `Refused` with the
+time to retry, or a `PendingVerdict`, whose outcome is returned later by
+`heard` or `tick`. `outbox` returns the messages to send to meters.
 """
 
 from dataclasses import dataclass
@@ -26,36 +26,36 @@
 from dahliashunt.decisions.registry import Registry
 
 __all__ = [
-    "CAPS",
-    "KEPT_MS",
-    "MOST_WAIT_MS",
-    "Asked",
+    "IDLE_EXPIRY_MS",
+    "MAX_RETRY_AFTER_MS",
+    "RATE_LIMIT_POLICIES",
     "EqualShare",
     "Level",
-    "MeterView",
+    "MeterState",
     "Outcome",
+    "PendingVerdict",
     "RateLimit",
+    "RateLimitVerdict",
     "Refused",
-    "UseView",
-    "Verdict",
-    "forget_old",
+    "UsageView",
+    "evict_old",
     "wait_ms",
 ]
 
-CAPS = Registry("cap policy")
+RATE_LIMIT_POLICIES = Registry("rate limit policy")
 
-KEPT_MS = 10_000
-"""A workspace without requests for so long is forgotten."""
+IDLE_EXPIRY_MS = 10_000
+"""State of a workspace without requests is evicted after this time."""
 
-LOOKED_AT = 2
-"""Old members looked at for each new one; above 1 a table shrinks."""
+EVICTION_CHECKS = 2
+"""Members checked for eviction per insertion; above 1 a table shrinks."""
 
-MOST_WAIT_MS = 5_000
-"""Longest Retry-After: further ahead nobody knows what will be sent."""
+MAX_RETRY_AFTER_MS = 5_000
+"""Longest time to retry, in milliseconds."""
 
 
-class Verdict(enum.Enum):
-    """What becomes of a request."""
+class RateLimitVerdict(enum.Enum):
+    """Decision on a request."""
 
     ADMITTED = "admitted"
 
@@ -67,39 +67,39 @@
     Attributes
     ----------
     after_ms : int
-        When the next request would pass.
+        Time until the next request would be admitted.
     """
 
     after_ms: int
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """The outcome comes later, under this number."""
+class PendingVerdict:
+    """A decision that is pending; its `Outcome` has the same number."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of an `Asked`."""
+    """The decision on a `PendingVerdict`."""
 
     number: int
-    verdict: Verdict | Refused
+    verdict: RateLimitVerdict | Refused
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """What a workspace may send.
+    """Rate limit of a workspace.
 
     Attributes
     ----------
     rate : float
         Requests a second; above 0.
     room : float
-        Requests that may come at once; 1 at the least.
+        Burst: requests that may come at once; at least 1.
     revision : int
-        Of the configuration that says so.
+        Revision of the configuration that sets the limit.
     """
 
     rate: float
@@ -108,8 +108,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MeterView:
-    """What an entry knows of one meter; see `Reading`."""
+class MeterState:
+    """State of one meter as known to an entry.
+
+    Attributes
+    ----------
+    host : str
+    level : float
+        Requests that the meter counts, less those that the rate has drained.
+    heard_ms : int or None
+        Time of its last reading.
+    mature : bool
+        Whether it has counted for a whole window.
+    silent : bool
+        Whether it leaves reports unanswered.
+    """
 
     host: str
     level: float
@@ -119,28 +132,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UseView:
-    """A workspace's use as one entry sees it.
+class UsageView:
+    """Usage of a workspace as one entry sees it.
 
     Attributes
     ----------
     level : float
-        Of all entries where it is metered, else of this one.
+        Level over all entries if `metered`, else of this entry alone.
     metered : bool
-        Whether meters decide; else this entry's share does.
+        Whether meters decide; otherwise this entry's share does.
     entries : int
-        Among which the limit is shared where it is not metered.
-    meters : tuple of MeterView
+        Number of entries that share the limit when it is not metered.
+    meters : tuple of MeterState
     """
 
     level: float
     metered: bool
     entries: int
-    meters: tuple[MeterView, ...] = ()
+    meters: tuple[MeterState, ...] = ()
 
 
 class Level:
-    """Requests that were let in, less what the rate has paid since.
+    """Leaky bucket: admitted requests that drain at the rate.
 
     Examples
     --------
@@ -158,40 +171,43 @@
         self._at_ms = 0
 
     def at(self, now_ms: int, rate: float) -> float:
-        """Return the level now; never below 0."""
-        paid = (now_ms - self._at_ms) * rate / 1000
-        self._value = max(0.0, self._value - max(0.0, paid))
+        """Return the level at `now_ms`; at least 0."""
+        drained = (now_ms - self._at_ms) * rate / 1000
+        self._value = max(0.0, self._value - max(0.0, drained))
         self._at_ms = max(self._at_ms, now_ms)
         return self._value
 
     def add(self, now_ms: int, rate: float, count: float = 1.0) -> None:
-        """Let in `count` more; negative ones take back."""
+        """Add `count` requests; a negative count removes them."""
         self._value = max(0.0, self.at(now_ms, rate) + count)
 
     def lower_to(self, most: float) -> None:
-        """Forget what is above `most`."""
+        """Cap the level at `most`."""
         self._value = min(self._value, most)
 
 
 def wait_ms(missing: float, rate: float) -> int:
-    """Return how long the rate takes to pay for `missing` requests."""
-    return min(MOST_WAIT_MS, max(1, -int(-1000 * missing // rate)))
+    """Return the time to drain `missing` requests, in milliseconds.
+
+    It is at least 1 and at most `MAX_RETRY_AFTER_MS`.
+    """
+    return min(MAX_RETRY_AFTER_MS, max(1, -int(-1000 * missing // rate)))
 
 
-def forget_old(table: dict, is_old) -> None:
-    """Look at two members and drop those that are old.
+def evict_old(table: dict, is_old) -> None:
+    """Check a few members of `table` and evict those that are old.
 
-    To be called for each new member: the table then shrinks to those that
-    are in use, whatever their order.
+    Call it before each insertion; the table then shrinks to the members in
+    use, whatever their order.
 
     Examples
     --------
     >>> table = {"used": 1, "old": 0}
-    >>> forget_old(table, lambda value: value == 0)
+    >>> evict_old(table, lambda value: value == 0)
     >>> table
     {'used': 1}
     """
-    for _ in range(min(LOOKED_AT, len(table))):
+    for _ in range(min(EVICTION_CHECKS, len(table))):
         key = next(iter(table))
         value = table.pop(key)
         if not is_old(value):
@@ -204,19 +220,20 @@
     used_ms: int
 
 
-@CAPS.register("equal-share")
+@RATE_LIMIT_POLICIES.register("equal-share")
 class EqualShare:
-    """Each entry gives away its share, asks nobody and tells nobody.
+    """Each entry enforces an equal share of the limit without messages.
 
-    The baseline, and what is left to an entry that reaches no meters: the
-    shares of all entries together are the limit, whoever is cut off.
+    The baseline, and the fallback of an entry that reaches no meters: the
+    rates of entries that know the same number of entries add up to the limit
+    under any network partition. Each has room for one request at least.
 
     Parameters
     ----------
     entries : callable
-        Returns how many entries there are, as far as is known.
+        Returns the known number of entries.
     meters_of, rng : object, optional
-        Not used; all policies are made alike.
+        Ignored; part of the constructor that all policies share.
     """
 
     def __init__(self, entries, meters_of=None, rng=None):
@@ -224,44 +241,44 @@
         self._share_by_workspace: dict[int, _Share] = {}
 
     def take(self, now_ms: int, workspace: int, limit: RateLimit):
-        """Let one request in, or say when it would pass."""
+        """Admit one request, or return when it would be admitted."""
         share = self._share(now_ms, workspace)
-        rate, room = self._part(limit)
+        rate, room = self._entry_limit(limit)
         missing = share.level.at(now_ms, rate) + 1 - room
         if missing > 0:
             return Refused(wait_ms(missing, rate))
         share.level.add(now_ms, rate)
-        return Verdict.ADMITTED
+        return RateLimitVerdict.ADMITTED
 
     def note(self, now_ms: int, workspace: int, limit: RateLimit) -> None:
-        """Count a request that was let in by other means."""
-        rate, room = self._part(limit)
+        """Count a request that was admitted elsewhere."""
+        rate, room = self._entry_limit(limit)
         level = self._share(now_ms, workspace).level
         level.add(now_ms, rate)
         level.lower_to(room)
 
     def give_back(self, now_ms, workspace, limit) -> None:
-        """Take back a request that did not run."""
+        """Refund a request that did not run."""
         share = self._share_by_workspace.get(workspace)
         if share is not None:
-            share.level.add(now_ms, self._part(limit)[0], -1)
+            share.level.add(now_ms, self._entry_limit(limit)[0], -1)
 
-    def view(self, now_ms: int, workspace: int) -> UseView:
-        """Return a workspace's use; no request is counted by it."""
+    def view(self, now_ms: int, workspace: int) -> UsageView:
+        """Return a workspace's usage without counting a request."""
         share = self._share_by_workspace.get(workspace)
         level = share.level.at(now_ms, 0) if share is not None else 0.0
-        return UseView(level, False, max(1, self._entries()))
+        return UsageView(level, False, max(1, self._entries()))
 
-    def _part(self, limit):
+    def _entry_limit(self, limit):
         entries = max(1, self._entries())
         return limit.rate / entries, max(1.0, limit.room / entries)
 
     def _share(self, now_ms, workspace):
         share = self._share_by_workspace.get(workspace)
         if share is None:
-            forget_old(
+            evict_old(
                 self._share_by_workspace,
-                lambda held: now_ms - held.used_ms > KEPT_MS,
+                lambda held: now_ms - held.used_ms > IDLE_EXPIRY_MS,
             )
             share = _Share(Level(), now_ms)
             self._share_by_workspace[workspace] = share
@@ -269,18 +286,18 @@
         return share
 
     def outbox(self) -> list:
-        """Return nothing: this policy sends no messages."""
+        """Return an empty list; this policy sends no messages."""
         return []
 
     def heard(self, now_ms, host, reading) -> list[Outcome]:
-        """Return nothing: this policy asks nothing."""
+        """Return an empty list; this policy has no pending decisions."""
         return []
 
     def tick(self, now_ms) -> list[Outcome]:
-        """Return nothing: this policy waits for nothing."""
+        """Return an empty list; this policy has no pending decisions."""
         return []
 
     @property
-    def is_waiting(self) -> bool:
-        """Whether `tick` is wanted."""
+    def needs_tick(self) -> bool:
+        """Whether `tick` must be called."""
         return False
--- /dev/null
+++ b/dahliashunt/decisions/slot_allocator.py
@@ -0,0 +1,250 @@
+"""Allocation of one replica's slots to online requests and batch items.
+
+Load pattern
+------------
+Online demand varies several-fold within seconds, while batch items fill the
+idle slots and hold each for seconds. Many entries share each replica, and
+the replica admits strictly in order of arrival.
+
+What goes wrong without it
+--------------------------
+Entries that count only their own requests overload one replica while another
+idles. Online requests then queue behind batch items inside the replica,
+where they can't be reordered. One allocator beside the replica sees all
+demand within a network round trip.
+
+Rules
+-----
+- An online request takes a free slot, or else the slot of the batch item
+  with the most slack. That item is revoked and resumes elsewhere from its
+  last event.
+- Batch gets only slots that online requests did not use in the last
+  `BATCH_COOLDOWN_MS`: an item in a shorter gap would be revoked before it has
+  read its prompt.
+- If online requests hold all slots, a further one is queued here, never in
+  the replica, and only if a slot is expected within its wait; otherwise it
+  is refused at once.
+- Requests that can meet their deadline go before those that can't, so that
+  a backlog after an outage does not delay all others (`caller_wait`).
+- Among these the lower `SlotRequest.rank` goes first, except that each
+  `LOW_PRIORITY_INTERVAL`-th slot goes to a less urgent request, which
+  prevents starvation.
+- Holds are reconciled with the replica's own list (`slot_holds`).
+
+Complexity: each step is linear in the slots and the queued requests.
+"""
+
+from dataclasses import dataclass
+from dataclasses import field
+
+from dahliashunt.decisions.slot_holds import SlotHolds
+from dahliashunt.decisions.slot_messages import AllocatorState
+from dahliashunt.decisions.slot_messages import Revoked
+from dahliashunt.decisions.slot_messages import SlotDecision
+from dahliashunt.decisions.slot_messages import SlotReply
+from dahliashunt.decisions.slot_messages import SlotRequest
+from dahliashunt.decisions.slot_messages import Use
+from dahliashunt.ids import AttemptId
+
+__all__ = ["BATCH_COOLDOWN_MS", "SlotAllocator"]
+
+INITIAL_HOLD_MS = 700
+"""Initial estimate of the time an online request holds a slot, in ms."""
+
+HOLD_EWMA_WEIGHT = 0.1
+"""Weight of a new hold time in the moving average."""
+
+BATCH_COOLDOWN_MS = 100
+"""Milliseconds for which a slot that an online request released is kept from
+batch."""
+
+LOW_PRIORITY_INTERVAL = 4
+"""One in this many grants from the queue goes to a less urgent request."""
+
+
+@dataclass(slots=True)
+class _Waiting:
+    ask: SlotRequest
+    expires_ms: int
+    deadline_ms: int
+
+    def is_late(self, now_ms):
+        return now_ms > self.deadline_ms
+
+
+@dataclass(slots=True)
+class SlotAllocator:
+    """Allocator of one replica's slots.
+
+    Parameters
+    ----------
+    slots : int
+        Requests that the replica runs concurrently.
+    away : bool
+        Whether the replica is unavailable; nothing is granted then.
+    hold_ms : float
+        Moving average of the time an online request holds a slot.
+    """
+
+    slots: int
+    away: bool = False
+    hold_ms: float = INITIAL_HOLD_MS
+    _holds: SlotHolds = field(default_factory=SlotHolds)
+    _waiting_by_id: dict[AttemptId, _Waiting] = field(default_factory=dict)
+    # Pairs of the time until which it counts, and the online holds.
+    _recent_online: list[tuple[int, int]] = field(default_factory=list)
+    _grants: int = 0
+
+    @property
+    def held(self) -> tuple[AttemptId, ...]:
+        """Attempts that hold a slot."""
+        return tuple(self._holds.by_id)
+
+    def ask(self, ask: SlotRequest, now_ms: int) -> list:
+        """Decide on `ask`; idempotent for a repeated attempt."""
+        held = self._holds.by_id.get(ask.attempt_id)
+        if held is not None:
+            held.renewed_ms = now_ms
+            return [_reply(ask, SlotDecision.GRANTED)]
+        if ask.attempt_id in self._waiting_by_id:
+            return [_reply(ask, SlotDecision.QUEUED)]
+        if self.away:
+            return [_reply(ask, SlotDecision.AWAY)]
+        if ask.use is Use.BATCH:
+            return self._ask_batch(ask, now_ms)
+        return self._ask_online(ask, now_ms)
+
+    def _ask_batch(self, ask, now_ms):
+        online = self._peak_online(now_ms)
+        holds = self._holds
+        taken = online + holds.count(Use.BATCH) + holds.unmatched
+        if self._waiting_by_id or taken >= self.slots:
+            return [_reply(ask, SlotDecision.FULL)]
+        return [self._grant(ask, now_ms)]
+
+    def _peak_online(self, now_ms):
+        """Return the peak of online holds in the last `BATCH_COOLDOWN_MS`."""
+        self._recent_online = [
+            each for each in self._recent_online if each[0] > now_ms
+        ]
+        counts = (count for _, count in self._recent_online)
+        return max(self._holds.count(Use.ONLINE), *counts, 0)
+
+    def _ask_online(self, ask, now_ms):
+        if not self._waiting_by_id:
+            if self._holds.used < self.slots:
+                return [self._grant(ask, now_ms)]
+            revoked = self._revoke(now_ms)
+            if revoked is not None:
+                return [revoked, self._grant(ask, now_ms)]
+        # A slack of 0: the request can't meet its deadline any more.
+        max_delay_ms = min(ask.slack_ms, ask.wait_ms) or ask.wait_ms
+        if self._expected_delay_ms(ask, now_ms) > max_delay_ms:
+            return [_reply(ask, SlotDecision.FULL)]
+        self._waiting_by_id[ask.attempt_id] = _Waiting(
+            ask, now_ms + ask.wait_ms, now_ms + ask.slack_ms
+        )
+        return [_reply(ask, SlotDecision.QUEUED)]
+
+    def _expected_delay_ms(self, ask, now_ms):
+        """Return the expected queueing delay of `ask`, in ms."""
+        ahead = [
+            each.ask.rank
+            for each in self._waiting_by_id.values()
+            if not (ask.slack_ms and each.is_late(now_ms))
+        ]
+        delay_ms = self._queue_delay_ms(
+            sum(rank <= ask.rank for rank in ahead)
+        )
+        if ask.rank > min(ahead, default=ask.rank):
+            low_priority = sum(rank > min(ahead) for rank in ahead)
+            return min(
+                delay_ms,
+                LOW_PRIORITY_INTERVAL * self._queue_delay_ms(low_priority),
+            )
+        return delay_ms
+
+    def _queue_delay_ms(self, ahead):
+        return int((ahead + 1) * self.hold_ms / max(1, self.slots))
+
+    def release(self, attempt_id: AttemptId, now_ms: int) -> list:
+        """Free the slot of `attempt_id`, or take it out of the queue."""
+        self._waiting_by_id.pop(attempt_id, None)
+        held = self._holds.by_id.pop(attempt_id, None)
+        if held is None:
+            return []
+        if held.ask.use is Use.ONLINE:
+            online_count = self._holds.count(Use.ONLINE) + 1
+            self._recent_online.append(
+                (now_ms + BATCH_COOLDOWN_MS, online_count)
+            )
+            lasted_ms = now_ms - held.since_ms
+            self.hold_ms += HOLD_EWMA_WEIGHT * (lasted_ms - self.hold_ms)
+        return self._grant_waiting(now_ms)
+
+    def renew(self, attempt_ids, requester, now_ms: int) -> None:
+        """Renew the holds of `attempt_ids` that belong to `requester`."""
+        self._holds.renew(attempt_ids, requester, now_ms)
+
+    def report(self, running: frozenset, waiting: int, now_ms: int) -> list:
+        """Reconcile the holds with what the replica runs and queues."""
+        self._holds.reconcile(running, waiting, now_ms)
+        return self._grant_waiting(now_ms)
+
+    def expected_wait_ms(self) -> int:
+        """Return the expected wait of one more online request, in ms."""
+        if not self._waiting_by_id and (
+            self._holds.used < self.slots or self._holds.count(Use.BATCH)
+        ):
+            return 0
+        return self._queue_delay_ms(len(self._waiting_by_id))
+
+    def state(self) -> AllocatorState:
+        """Return the state that is sent to entries."""
+        return AllocatorState(
+            slots=self.slots,
+            online=self._holds.count(Use.ONLINE) + self._holds.unmatched,
+            batch=self._holds.count(Use.BATCH),
+            waiting=len(self._waiting_by_id),
+            wait_ms=self.expected_wait_ms(),
+            away=self.away,
+        )
+
+    def _revoke(self, now_ms):
+        """Revoke a batch hold; return None if there is none."""
+        ask = self._holds.revoke_batch(now_ms)
+        return ask and Revoked(ask.attempt_id, ask.requester)
+
+    def _grant(self, ask, now_ms):
+        self._holds.grant(ask, now_ms)
+        return _reply(ask, SlotDecision.GRANTED)
+
+    def _grant_waiting(self, now_ms):
+        answers = []
+        for attempt_id, waiting in list(self._waiting_by_id.items()):
+            if waiting.expires_ms < now_ms:
+                del self._waiting_by_id[attempt_id]
+                answers.append(_reply(waiting.ask, SlotDecision.FULL))
+        while self._waiting_by_id and self._holds.used < self.slots:
+            waiting = self._waiting_by_id.pop(self._next_attempt_id(now_ms))
+            answers.append(self._grant(waiting.ask, now_ms))
+        return answers
+
+    def _next_attempt_id(self, now_ms):
+        """Return the attempt to grant next; first come among equals."""
+        self._grants += 1
+        top_rank = min(each.ask.rank for each in self._waiting_by_id.values())
+        is_low_priority_turn = self._grants % LOW_PRIORITY_INTERVAL == 0
+
+        def sort_key(attempt_id):
+            waiting = self._waiting_by_id[attempt_id]
+            rank = waiting.ask.rank
+            if is_low_priority_turn:
+                rank = rank == top_rank
+            return waiting.is_late(now_ms), rank
+
+        return min(self._waiting_by_id, key=sort_key)
+
+
+def _reply(ask, decision):
+    return SlotReply(ask.attempt_id, ask.requester, decision)
--- a/dahliashunt/decisions/slot_holds.py
+++ b/dahliashunt/decisions/slot_holds.py
@@ -1,49 +1,48 @@
-"""Who holds a replica's slots, compared with what the replica runs.
+"""Grants of a replica's slots, reconciled with the requests that it runs.
 
-A hold whose asker went silent, or whose run the replica has not listed for
-a while, is dropped, so that lost datagrams and dead entries do not keep
-slots. Runs that no hold accounts for count as taken: this keeper has
-started after them, or an entry sent without asking.
+A hold is dropped when it is no longer renewed or when the replica no longer
+lists its run, so that a lost datagram or a dead entry does not leak a slot.
+Runs without a hold count as taken: they were granted before the agent
+restarted, or sent without a grant.
 
-Complexity: each step is linear in the slots, which are few.
+Complexity: each step is linear in the slots.
 """
 
 from dataclasses import dataclass
 from dataclasses import field
 
-from dahliashunt.decisions.slot_messages import Ask
+from dahliashunt.decisions.slot_messages import SlotRequest
 from dahliashunt.decisions.slot_messages import Use
 from dahliashunt.ids import AttemptId
 from dahliashunt.ids import RequestId
 
-__all__ = ["RENEW_WITHIN_MS", "UNSEEN_MS", "Hold", "SlotHolds"]
+__all__ = ["HOLD_TTL_MS", "START_GRACE_MS", "Hold", "SlotHolds"]
 
-RENEW_WITHIN_MS = 3_500
-"""A hold that was not renewed for so long is dropped: askers renew every
-second, so three renewals in a row were lost or the asker is gone."""
+HOLD_TTL_MS = 3_500
+"""Milliseconds after which a hold that is not renewed expires; entries renew
+every second, so that three renewals may be lost."""
 
-UNSEEN_MS = 800
-"""A hold this old that the replica neither runs nor queues is dropped; a
-granted request reaches its replica within some milliseconds."""
+START_GRACE_MS = 800
+"""Milliseconds from a grant until the replica must list the run."""
 
-REVOKED_MS = 300
-"""For so long after it was told to stop a run is not counted: closing the
-connection reaches the replica in a round trip."""
+REVOKE_GRACE_MS = 300
+"""Milliseconds for which a revoked run that is still listed is not counted;
+covers the round trip that closes its connection."""
 
 
 @dataclass(slots=True)
 class Hold:
-    """A slot that was granted.
+    """Grant of one slot.
 
     Attributes
     ----------
-    ask : Ask
+    ask : SlotRequest
     since_ms, renewed_ms : int
     due_ms : int
-        When its batch item is due; the latest yields first.
+        Time of the grant plus the slack; the latest is revoked first.
     """
 
-    ask: Ask
+    ask: SlotRequest
     since_ms: int
     renewed_ms: int
     due_ms: int
@@ -51,46 +50,46 @@
 
 @dataclass(slots=True)
 class SlotHolds:
-    """The holds of one replica.
+    """Holds of one replica.
 
     Attributes
     ----------
     by_id : dict
         Holds by attempt.
-    foreign : int
-        Requests at the replica that no hold accounts for.
+    unmatched : int
+        Requests at the replica without a hold.
     """
 
     by_id: dict[AttemptId, Hold] = field(default_factory=dict)
-    foreign: int = 0
+    unmatched: int = 0
     _revoked_ms_by_run: dict[RequestId, int] = field(default_factory=dict)
 
     @property
     def used(self) -> int:
-        """Slots that are taken, by holds or others."""
-        return len(self.by_id) + self.foreign
+        """Slots taken, with or without a hold."""
+        return len(self.by_id) + self.unmatched
 
     def count(self, use: Use) -> int:
-        """Return the holds for `use`."""
+        """Return the number of holds for `use`."""
         return sum(hold.ask.use is use for hold in self.by_id.values())
 
-    def grant(self, ask: Ask, now_ms: int) -> None:
-        """Note that `ask` holds a slot."""
+    def grant(self, ask: SlotRequest, now_ms: int) -> None:
+        """Record a hold for `ask`."""
         due_ms = now_ms + ask.slack_ms
         self.by_id[ask.attempt_id] = Hold(ask, now_ms, now_ms, due_ms)
 
-    def renew(self, attempt_ids, asker, now_ms: int) -> None:
-        """Note that `asker` still runs `attempt_ids`.
+    def renew(self, attempt_ids, requester, now_ms: int) -> None:
+        """Renew the holds of `attempt_ids` that belong to `requester`.
 
-        An attempt unknown here (this keeper started after its grant) is
-        counted through the replica's own report instead.
+        Attempts without a hold, granted before the agent restarted, are
+        counted from the replica's report instead.
         """
         for attempt_id in attempt_ids:
             hold = self.by_id.get(attempt_id)
-            if hold is not None and hold.ask.asker == asker:
+            if hold is not None and hold.ask.requester == requester:
                 hold.renewed_ms = now_ms
 
-    def take_back(self, now_ms: int) -> Ask | None:
+    def revoke_batch(self, now_ms: int) -> SlotRequest | None:
         """Drop the batch hold with the most slack; None if there is none."""
         batch = [
             hold for hold in self.by_id.values() if hold.ask.use is Use.BATCH
@@ -102,31 +101,32 @@
         self._revoked_ms_by_run[ask.run_id] = now_ms
         return ask
 
-    def compare(self, running: frozenset, waiting: int, now_ms: int) -> None:
-        """Take over what the replica says that it runs.
+    def reconcile(self, running: frozenset, waiting: int, now_ms: int) -> None:
+        """Drop stale holds and count the runs without a hold.
 
         Parameters
         ----------
         running : frozenset of RequestId
+            Requests that the replica lists as running.
         waiting : int
             Requests in the replica's own queue.
         now_ms : int
         """
         for attempt_id, hold in list(self.by_id.items()):
-            silent = now_ms - hold.renewed_ms > RENEW_WITHIN_MS
-            unseen = (
+            is_expired = now_ms - hold.renewed_ms > HOLD_TTL_MS
+            is_missing = (
                 waiting == 0
                 and hold.ask.run_id not in running
-                and now_ms - hold.since_ms > UNSEEN_MS
+                and now_ms - hold.since_ms > START_GRACE_MS
             )
-            if silent or unseen:
+            if is_expired or is_missing:
                 del self.by_id[attempt_id]
         for run_id, at_ms in list(self._revoked_ms_by_run.items()):
-            if now_ms - at_ms > REVOKED_MS:
+            if now_ms - at_ms > REVOKE_GRACE_MS:
                 del self._revoked_ms_by_run[run_id]
-        self.foreign = self._count_foreign(running, waiting)
+        self.unmatched = self._count_unmatched(running, waiting)
 
-    def _count_foreign(self, running, waiting):
+    def _count_unmatched(self, running, waiting):
         held = {hold.ask.run_id for hold in self.by_id.values()}
         unknown = len(running - held - self._revoked_ms_by_run.keys())
         queued = len(held - running)
--- a/dahliashunt/decisions/tests/conftest.py
+++ b/dahliashunt/decisions/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the entry's decisions."""
+"""Fixtures for tests of the entry's decisions."""
 
 import random
 
@@ -12,13 +12,13 @@
 
 @pytest.fixture
 def make_request():
-    """Return a maker of requests named r1, r2..."""
+    """Return a factory of requests named r1, r2..."""
     count = 0
 
     def make(**fields):
         nonlocal count
         count += 1
-        usual = {
+        defaults = {
             "request_id": f"r{count}",
             "caller": "c",
             "model": "m",
@@ -29,14 +29,14 @@
             "may_repeat": True,
             "fingerprint": f"f{count}",
         }
-        return OnlineRequest(**(usual | fields))
+        return OnlineRequest(**(defaults | fields))
 
     return make
 
 
 @pytest.fixture
 def make_entry():
-    """Return a maker of an entry in data centre a."""
+    """Return a factory of entries in data centre a."""
 
     def make(endpoints=("a1", "a2", "b1"), **settings):
         policy = EntryPolicy(**({"default_service_ms": 400} | settings))
--- a/dahliashunt/decisions/tests/cap_play.py
+++ b/dahliashunt/decisions/tests/rate_limit_simulation.py
@@ -1,8 +1,9 @@
-"""Entries, meters and a network that loses things, on a virtual clock.
+"""Simulated entries, meters and a lossy network on a virtual clock.
 
-`CapPlay` plays requests of workspaces through the policies of `CAPS` and
-notes which were let in. `overruns` holds these against the bound that the
-limit allows in each window, and `lost` against one exact count.
+`RateLimitSimulation` sends requests of workspaces through the policies of
+`RATE_LIMIT_POLICIES` and records which were admitted. `overruns` compares
+these with the bound of the limit in each window, and `lost` with one exact
+bucket.
 """
 
 import bisect
@@ -14,31 +15,31 @@
 
 from dahliashunt.decisions.link_choice import rendezvous_rank
 from dahliashunt.decisions.meter import Meter
-from dahliashunt.decisions.metered import METERS
-from dahliashunt.decisions.rate_limits import Asked
-from dahliashunt.decisions.rate_limits import CAPS
+from dahliashunt.decisions.metered import METERS_PER_WORKSPACE
 from dahliashunt.decisions.rate_limits import Level
-from dahliashunt.decisions.rate_limits import Verdict
+from dahliashunt.decisions.rate_limits import PendingVerdict
+from dahliashunt.decisions.rate_limits import RATE_LIMIT_POLICIES
+from dahliashunt.decisions.rate_limits import RateLimitVerdict
 
-__all__ = ["CapPlay", "arrivals", "lost", "overruns"]
+__all__ = ["RateLimitSimulation", "arrivals", "lost", "overruns"]
 
 WINDOW_MS = 5_000
-OVERRUN = 0.1
-SLACK = 20
+OVERRUN_SHARE = 0.1
+OVERRUN_REQUESTS = 20
 TICK_MS = 25
 
-RENEW_MS = 1_000
+HEARTBEAT_MS = 1_000
 
 HOP_MS = (1, 3)
-"""One way between two machines of a region, with both sides' work."""
+"""Range of the one-way delay within a region, processing included."""
 
 REPORT_BYTES = 64
-"""A report or a reading with its datagram's headers, as encoded."""
+"""Encoded size of a report or reading with the datagram's headers."""
 
 
 @dataclass
 class Request:
-    """One request and what became of it."""
+    """A request and the decision on it."""
 
     at_ms: int
     workspace: int
@@ -51,22 +52,22 @@
     policy: object
     frozen_until_ms: int = 0
     pending: dict = field(default_factory=dict)
-    late: list = field(default_factory=list)
+    deferred: list = field(default_factory=list)
 
 
-class CapPlay:
-    """A fleet of entries and meters.
+class RateLimitSimulation:
+    """Simulation of a fleet of entries and meters.
 
     Parameters
     ----------
     policy : str
-        Of `CAPS`.
+        Name in `RATE_LIMIT_POLICIES`.
     entries, meters : int
     limit : RateLimit
-        Of every workspace.
+        Limit of every workspace.
     seed : int
     known_entries : int, optional
-        What entries know of their number from elsewhere.
+        Number of entries that the entries assume; default `entries`.
     """
 
     def __init__(
@@ -88,11 +89,11 @@
         self._order = itertools.count()
         self._ticking = set()
         for number in range(entries):
-            first_ms = self.rng.randrange(RENEW_MS)
-            self.at(first_ms, lambda n=number: self._renew(n))
+            first_ms = self.rng.randrange(HEARTBEAT_MS)
+            self.at(first_ms, lambda n=number: self._send_heartbeat(n))
 
     def _start(self, number):
-        member = CAPS.get(self._policy)
+        member = RATE_LIMIT_POLICIES.get(self._policy)
         return _Entry(member(lambda: self._known, self._meters_of, self.rng))
 
     def _meters_of(self, workspace):
@@ -101,46 +102,44 @@
             key=lambda host: rendezvous_rank(str(workspace), host),
             reverse=True,
         )
-        return tuple(ranked[:METERS])
+        return tuple(ranked[:METERS_PER_WORKSPACE])
 
-    # What may happen.
-
-    def at(self, at_ms, act):
-        """Do `act` at a time."""
-        heapq.heappush(self._events, (at_ms, next(self._order), act))
+    def at(self, at_ms, action):
+        """Schedule `action` at `at_ms`."""
+        heapq.heappush(self._events, (at_ms, next(self._order), action))
 
     def kill_entry(self, number):
-        """Lose an entry; a new one comes in its place at once."""
+        """Replace an entry by a new one that has no state."""
         self.entries[number] = self._start(number)
 
     def kill_meter(self, host):
-        """Lose a meter; a new one comes in its place at once."""
+        """Replace a meter by a new one that has no state."""
         self.meters[host] = Meter()
 
     def freeze(self, number, for_ms):
-        """Stop an entry; what comes meanwhile is done when it wakes."""
+        """Pause an entry; input is deferred until it resumes."""
         self.entries[number].frozen_until_ms = self.now_ms + for_ms
         self.at(self.now_ms + for_ms, lambda: self._wake(number))
 
     def _wake(self, number):
         entry = self.entries[number]
-        late, entry.late = entry.late, []
-        for act in late:
-            act()
-
-    def _renew(self, number):
-        """Let an entry renew its slots, a sign of life for all meters."""
-        self.at(self.now_ms + RENEW_MS, lambda: self._renew(number))
+        deferred, entry.deferred = entry.deferred, []
+        for action in deferred:
+            action()
+
+    def _send_heartbeat(self, number):
+        """Renew an entry's slots, which tells all meters that it is alive."""
+        self.at(
+            self.now_ms + HEARTBEAT_MS, lambda: self._send_heartbeat(number)
+        )
         if self.now_ms < self.entries[number].frozen_until_ms:
             return
         for host in self._hosts:
             if not self.cut(number, host):
                 self.meters[host].heard.note(self.now_ms, number)
 
-    # Requests and messages.
-
     def send(self, at_ms, number, workspace):
-        """Let a caller send a request to an entry."""
+        """Schedule a request of a workspace to entry `number`."""
         request = Request(at_ms, workspace)
         self.requests.append(request)
         self.at(at_ms, lambda: self._arrive(number, request))
@@ -149,14 +148,14 @@
     def _arrive(self, number, request):
         entry = self.entries[number]
         if self.now_ms < entry.frozen_until_ms:
-            entry.late.append(lambda: self._arrive(number, request))
+            entry.deferred.append(lambda: self._arrive(number, request))
             return
         limit = self.limit_by_entry[number]
-        found = entry.policy.take(self.now_ms, request.workspace, limit)
-        if isinstance(found, Asked):
-            entry.pending[found.number] = request
+        answer = entry.policy.take(self.now_ms, request.workspace, limit)
+        if isinstance(answer, PendingVerdict):
+            entry.pending[answer.number] = request
         else:
-            self._decide(request, found)
+            self._decide(request, answer)
         self._flush(number)
 
     def _decide(self, request, verdict):
@@ -170,14 +169,14 @@
     def _flush(self, number):
         entry = self.entries[number]
         for host, report in entry.policy.outbox():
-            self._carry(
+            self._transmit(
                 number,
                 host,
-                lambda h=host, r=report, e=entry: self._reported(
+                lambda h=host, r=report, e=entry: self._deliver_report(
                     number, h, r, e
                 ),
             )
-        if entry.policy.is_waiting and number not in self._ticking:
+        if entry.policy.needs_tick and number not in self._ticking:
             self._ticking.add(number)
             self.at(self.now_ms + TICK_MS, lambda: self._tick(number))
 
@@ -185,49 +184,52 @@
         self._ticking.discard(number)
         entry = self.entries[number]
         if self.now_ms < entry.frozen_until_ms:
-            entry.late.append(lambda: self._tick(number))
+            entry.deferred.append(lambda: self._tick(number))
             return
         self._outcomes(number, entry.policy.tick(self.now_ms))
         self._flush(number)
 
-    def _carry(self, number, host, act):
+    def _transmit(self, number, host, action):
         self.messages += 1
         if self.cut(number, host) or self.rng.random() < self.loss:
             return
         copies = 1 + (self.rng.random() < self.doubling)
         for _ in range(copies):
-            self.at(self.now_ms + self.rng.randint(*HOP_MS), act)
+            self.at(self.now_ms + self.rng.randint(*HOP_MS), action)
 
-    def _reported(self, number, host, report, entry):
+    def _deliver_report(self, number, host, report, entry):
         reading = self.meters[host].report(self.now_ms, number, report)
-        self._carry(
-            number, host, lambda: self._heard(number, host, reading, entry)
+        self._transmit(
+            number,
+            host,
+            lambda: self._deliver_reading(number, host, reading, entry),
         )
 
-    def _heard(self, number, host, reading, entry):
+    def _deliver_reading(self, number, host, reading, entry):
         if self.entries[number] is not entry:
             return
         if self.now_ms < entry.frozen_until_ms:
-            entry.late.append(
-                lambda: self._heard(number, host, reading, entry)
+            entry.deferred.append(
+                lambda: self._deliver_reading(number, host, reading, entry)
             )
             return
         self._outcomes(number, entry.policy.heard(self.now_ms, host, reading))
         self._flush(number)
 
     def run(self, until_ms):
-        """Play up to a time."""
+        """Run all events up to `until_ms`."""
         while self._events and self._events[0][0] <= until_ms:
-            self.now_ms, _, act = heapq.heappop(self._events)
-            act()
+            self.now_ms, _, action = heapq.heappop(self._events)
+            action()
         self.now_ms = until_ms
 
     def admitted(self, workspace):
-        """Return when requests of a workspace were let in, in order."""
+        """Return the sorted times at which a workspace's requests passed."""
         return sorted(
             r.decided_ms
             for r in self.requests
-            if r.workspace == workspace and r.verdict is Verdict.ADMITTED
+            if r.workspace == workspace
+            and r.verdict is RateLimitVerdict.ADMITTED
         )
 
 
@@ -241,10 +243,12 @@
         times.append(int(at_ms))
 
 
-def overruns(play, workspace, limit, burst):
-    """Return the most by which a window is above what is allowed."""
-    times = play.admitted(workspace)
-    allowed = (limit.rate * WINDOW_MS / 1000 + burst) * (1 + OVERRUN) + SLACK
+def overruns(sim, workspace, limit, burst):
+    """Return the largest excess of a window over the allowed requests."""
+    times = sim.admitted(workspace)
+    allowed = (limit.rate * WINDOW_MS / 1000 + burst) * (
+        1 + OVERRUN_SHARE
+    ) + OVERRUN_REQUESTS
     worst = -allowed
     for index, start_ms in enumerate(times):
         end = bisect.bisect_left(times, start_ms + WINDOW_MS)
@@ -252,13 +256,13 @@
     return worst
 
 
-def lost(play, workspace, rate, burst):
-    """Return how many requests one exact count would have let in besides."""
-    exact, owed = Level(), 0
-    for request in sorted(play.requests, key=lambda r: r.at_ms):
+def lost(sim, workspace, rate, burst):
+    """Return how many more requests one exact bucket would have admitted."""
+    exact, expected = Level(), 0
+    for request in sorted(sim.requests, key=lambda r: r.at_ms):
         if request.workspace != workspace:
             continue
         if exact.at(request.at_ms, rate) + 1 <= burst:
             exact.add(request.at_ms, rate)
-            owed += 1
-    return owed - len(play.admitted(workspace))
+            expected += 1
+    return expected - len(sim.admitted(workspace))
--- a/dahliashunt/decisions/tests/shared_fleet.py
+++ b/dahliashunt/decisions/tests/shared_fleet.py
@@ -1,9 +1,9 @@
-"""A fleet that waves of online requests and batch items share, played.
+"""Simulation of a fleet shared by online requests and batch items.
 
-The keepers, the order of replicas and the order of items are the real
-ones; runs, waves, losses of replicas and the owners' pace of asking are
-drawn from a seed on a virtual clock. Online requests and jobs are drawn
-apart, so that two policies meet the same ones.
+Slot allocation, replica order and item order are the production code. Run
+times, bursts, losses of replicas and retries are drawn from a seed, on a
+virtual clock. Online requests and jobs use separate random streams, so that
+two policies meet the same load.
 """
 
 from dataclasses import dataclass
@@ -12,46 +12,46 @@
 import math
 import random
 
-from dahliashunt.decisions.item_order import ItemOrder
+from dahliashunt.decisions.item_order import ItemQueue
 from dahliashunt.decisions.item_order import WaitingItem
 from dahliashunt.decisions.replica_choice import Candidate
 from dahliashunt.decisions.replica_choice import order_replicas
-from dahliashunt.decisions.slot_keeper import SlotKeeper
-from dahliashunt.decisions.slot_messages import Answered
-from dahliashunt.decisions.slot_messages import Ask
+from dahliashunt.decisions.slot_allocator import SlotAllocator
 from dahliashunt.decisions.slot_messages import Revoked
+from dahliashunt.decisions.slot_messages import SlotDecision
+from dahliashunt.decisions.slot_messages import SlotReply
+from dahliashunt.decisions.slot_messages import SlotRequest
 from dahliashunt.decisions.slot_messages import Use
-from dahliashunt.decisions.slot_messages import Verdict
 
 __all__ = ["EarliestDue", "Fleet", "Load", "Outcome", "Switches"]
 
 WAVE_MS = 5_200
 CALM_MS = 3_000
-CALM_X, WAVE_X = 0.378, 1.85
+CALM_FACTOR, WAVE_FACTOR = 0.378, 1.85
 ONLINE_RUN_MS = 680
 ITEM_RUN_MS = 4_700
 ITEM_SPREAD = 0.25
 DUE_MS = 18_000
 RESTART_MS = 30
-"""An item's time from its grant to its first new event."""
+"""Time from an item's grant to its first new event."""
 
 WAIT_MS = 260
-"""What an online request may wait: its objective less a start."""
+"""Longest wait of an online request that meets its deadline."""
 
 LATE_WAIT_MS = 1_200
-"""What a request that is late may wait."""
+"""Longest wait of a request that has missed its deadline."""
 
-BACK_MS = (0, 600)
-"""After an outage callers come back within so long."""
+RETURN_DELAY_MS = (0, 600)
+"""Bounds of the delay after an outage until a caller returns."""
 
 ROUND_TRIP_MS = 2
-ASKED = 6
-PAUSE_MS = (40, 90)
+MAX_ASKED = 6
+RETRY_PAUSE_MS = (40, 90)
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What comes, and when replicas are away."""
+    """Load of one run: arrivals, and when replicas are down."""
 
     replicas: int = 9
     slots: int = 8
@@ -60,24 +60,24 @@
     jobs_per_s: float = 0.514
     length_ms: int = 34_000
     burst: tuple[int, int, float] = (0, 0, 1.0)
-    """From, until, and how many times the jobs."""
+    """Start, end, and factor on the rate of jobs."""
 
     loss: tuple[int, int, int] = (0, 0, 0)
-    """From, until, and how many replicas are away."""
+    """Start, end, and number of replicas that are down."""
 
     outage: tuple[int, int] = (0, 0)
-    """From and until when callers find no entry at all."""
+    """Start and end of the time in which no entry is reachable."""
 
 
-class EarliestDue(ItemOrder):
-    """The baseline: by due time alone, in the queue and at the keeper."""
+class EarliestDue(ItemQueue):
+    """Baseline: earliest due date first, without regard to feasibility."""
 
-    def spare_ms(self, item, now_ms):
+    def laxity_ms(self, item, now_ms):
         return 0
 
 
-class NeverRevokes(SlotKeeper):
-    """The baseline: online requests wait for an item's end."""
+class NeverRevokes(SlotAllocator):
+    """Baseline: online requests wait until an item ends."""
 
     __slots__ = ()
 
@@ -87,25 +87,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Switches:
-    """Mechanisms that a trial may switch off, one by one."""
+    """Mechanisms that can be replaced or disabled one by one."""
 
-    order: type = ItemOrder
-    keeper: type = SlotKeeper
+    order: type = ItemQueue
+    allocator: type = SlotAllocator
     idle_first: bool = True
     queues: bool = True
     """Whether an online request may wait at a full replica."""
 
     late_yields: bool = True
-    """Whether a request that is late waits longer, and behind others."""
+    """Whether a late request may wait longer, but behind others."""
 
     return_ms: tuple[int, int] | None = None
-    """From when until when after a refusal a caller comes once more; None
-    if callers don't come back."""
+    """Bounds of the delay after which a refused caller retries once; None
+    for no retry."""
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of the items and of the online requests."""
+    """Counts of items and online requests by outcome."""
 
     items: int
     late: int
@@ -113,10 +113,11 @@
     revokes: int
     refused: int
     in_time: int
-    """Online requests that got a slot in time."""
+    """Online requests granted a slot in time at the first try."""
 
     returned_in_time: int
-    """Those that did so after a refusal, counted from their return."""
+    """Online requests granted a slot in time after a refusal, timed from
+    their return."""
 
     served_late: int
 
@@ -124,10 +125,10 @@
 @dataclass(slots=True, eq=False)
 class _Online:
     run_ms: float
-    came_ms: float
+    arrived_ms: float
     waited_ms: float = 0
     refused: bool = False
-    last: bool = False
+    is_final: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -136,16 +137,16 @@
     work_ms: float
     owner: int
     ran_ms: float = 0
-    began_ms: float = 0
+    started_ms: float = 0
     ended_ms: float | None = None
 
 
 SWITCHES = Switches()
-"""Everything on."""
+"""All mechanisms enabled."""
 
 
 class Fleet:
-    """Plays one load once."""
+    """Simulation of one load with one seed."""
 
     def __init__(self, load, seed, switches=SWITCHES):
         self.load = load
@@ -156,26 +157,26 @@
         self._keepers = [self._keeper() for _ in range(load.replicas)]
         self._away = set()
         self._queues = [switches.order() for _ in range(load.owners)]
-        self._pumping = set()
+        self._dispatching = set()
         self._item_by_attempt = {}
         self._items = []
         self._events = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._revokes = self._refused = 0
         self._in_time = self._returned_in_time = self._served_late = 0
         self._now_ms = 0
 
     def _keeper(self):
-        return self.switches.keeper(self.load.slots)
+        return self.switches.allocator(self.load.slots)
 
     def play(self) -> Outcome:
-        """Play to the end; items run on for 18 s after the traffic."""
-        self._at(0, self._online_comes)
-        self._at(0, self._job_comes)
+        """Run to the end; items run on for `DUE_MS` after the traffic."""
+        self._schedule(0, self._online_arrives)
+        self._schedule(0, self._job_arrives)
         from_ms, until_ms, count = self.load.loss
         if count:
-            self._at(from_ms, self._lose, count)
-            self._at(until_ms, self._away.clear)
+            self._schedule(from_ms, self._lose_replicas, count)
+            self._schedule(until_ms, self._away.clear)
         while self._events:
             self._now_ms, _, step, values = heapq.heappop(self._events)
             if self._now_ms > self.load.length_ms + DUE_MS:
@@ -198,38 +199,41 @@
             self._served_late,
         )
 
-    def _at(self, at_ms, step, *values):
-        entry = (at_ms, next(self._numbers), step, values)
+    def _schedule(self, at_ms, step, *values):
+        entry = (at_ms, next(self._sequence), step, values)
         heapq.heappush(self._events, entry)
 
     # Online requests.
 
-    def _online_comes(self):
+    def _online_arrives(self):
         rng = self._online_rng
         if self._now_ms > self.load.length_ms:
             return
-        most_per_ms = self.load.online_per_s * WAVE_X / 1_000
-        self._at(
-            self._now_ms + rng.expovariate(most_per_ms), self._online_comes
+        peak_per_ms = self.load.online_per_s * WAVE_FACTOR / 1_000
+        self._schedule(
+            self._now_ms + rng.expovariate(peak_per_ms), self._online_arrives
         )
         is_calm = self._now_ms % WAVE_MS < CALM_MS
         run_ms = max(150, rng.gauss(ONLINE_RUN_MS, ONLINE_RUN_MS / 4))
-        if rng.random() < (CALM_X if is_calm else WAVE_X) / WAVE_X:
-            self._comes_first(run_ms)
+        if (
+            rng.random()
+            < (CALM_FACTOR if is_calm else WAVE_FACTOR) / WAVE_FACTOR
+        ):
+            self._arrive_first(run_ms)
 
-    def _comes_first(self, run_ms):
+    def _arrive_first(self, run_ms):
         from_ms, until_ms = self.load.outage
         if from_ms <= self._now_ms < until_ms:
-            back_ms = until_ms + self._online_rng.uniform(*BACK_MS)
+            back_ms = until_ms + self._online_rng.uniform(*RETURN_DELAY_MS)
             waited_ms = back_ms - self._now_ms
-            online = _Online(run_ms, back_ms, waited_ms, last=True)
-            self._at(back_ms, self._place_online, online)
+            online = _Online(run_ms, back_ms, waited_ms, is_final=True)
+            self._schedule(back_ms, self._place_online, online)
         else:
             self._place_online(_Online(run_ms, self._now_ms))
 
     def _place_online(self, online):
-        name = f"online{next(self._numbers)}"
-        asked = self._ordered()[:ASKED]
+        name = f"online{next(self._sequence)}"
+        asked = self._ordered()[:MAX_ASKED]
         rounds = [(0, asked)]
         wait_ms, slack_ms = WAIT_MS, WAIT_MS
         if self.switches.late_yields:
@@ -239,45 +243,47 @@
             rounds.append((wait_ms, asked[:1]))
         for wait_ms, numbers in rounds:
             for number in numbers:
-                asker = ("online", number, online)
-                ask = Ask(name, name, asker, Use.ONLINE, wait_ms, slack_ms)
-                verdict = self._tell(self._keepers[number], ask)
-                if verdict is not Verdict.FULL:
+                requester = ("online", number, online)
+                ask = SlotRequest(
+                    name, name, requester, Use.ONLINE, wait_ms, slack_ms
+                )
+                verdict = self._request_slot(self._keepers[number], ask)
+                if verdict is not SlotDecision.FULL:
                     return
         self._refuse(online)
 
     def _refuse(self, online):
         return_ms = self.switches.return_ms
-        if return_ms is None or online.last:
+        if return_ms is None or online.is_final:
             self._refused += 1
             return
         after_ms = self._online_rng.uniform(*return_ms)
         online.waited_ms += after_ms
-        online.came_ms = self._now_ms + after_ms
-        online.refused = online.last = True
-        self._at(online.came_ms, self._place_online, online)
+        online.arrived_ms = self._now_ms + after_ms
+        online.refused = online.is_final = True
+        self._schedule(online.arrived_ms, self._place_online, online)
 
-    def _tell(self, keeper, ask):
-        effects = keeper.ask(ask, self._now_ms)
-        self._obey(effects)
+    def _request_slot(self, allocator, ask):
+        effects = allocator.ask(ask, self._now_ms)
+        self._apply_effects(effects)
         return effects[-1].verdict
 
-    def _obey(self, effects):
+    def _apply_effects(self, effects):
         for effect in effects:
             if isinstance(effect, Revoked):
                 self._revoked(effect.attempt_id)
-            elif effect.asker[0] == "online":
+            elif effect.requester[0] == "online":
                 self._online_answered(effect)
 
-    def _online_answered(self, answered: Answered):
-        _, number, online = answered.asker
-        if answered.verdict is Verdict.GRANTED:
+    def _online_answered(self, answered: SlotReply):
+        _, number, online = answered.requester
+        if answered.verdict is SlotDecision.GRANTED:
             ended = (number, answered.attempt_id)
-            self._at(self._now_ms + online.run_ms, self._release, *ended)
+            self._schedule(self._now_ms + online.run_ms, self._release, *ended)
             self._count_served(online)
 
     def _count_served(self, online):
-        if self._now_ms - online.came_ms > WAIT_MS:
+        if self._now_ms - online.arrived_ms > WAIT_MS:
             self._served_late += 1
         elif online.refused:
             self._returned_in_time += 1
@@ -287,13 +293,13 @@
             self._in_time += 1
 
     def _release(self, number, attempt_id):
-        keeper = self._keepers[number]
-        self._obey(keeper.release(attempt_id, self._now_ms))
+        allocator = self._keepers[number]
+        self._apply_effects(allocator.release(attempt_id, self._now_ms))
 
     def _ordered(self):
         candidates = [
-            self._candidate(number, keeper.state())
-            for number, keeper in enumerate(self._keepers)
+            self._candidate(number, allocator.state())
+            for number, allocator in enumerate(self._keepers)
             if number not in self._away
         ]
         ordered = order_replicas(candidates, "", self._rng)
@@ -312,24 +318,24 @@
 
     # Batch items.
 
-    def _job_comes(self):
+    def _job_arrives(self):
         rng = self._jobs_rng
         if self._now_ms > self.load.length_ms:
             return
-        from_ms, until_ms, x = self.load.burst
-        most = max(1.0, x)
-        gap_ms = rng.expovariate(self.load.jobs_per_s * most / 1_000)
-        self._at(self._now_ms + gap_ms, self._job_comes)
-        now_x = x if from_ms <= self._now_ms < until_ms else 1.0
-        if rng.random() < now_x / most:
+        from_ms, until_ms, factor = self.load.burst
+        max_factor = max(1.0, factor)
+        gap_ms = rng.expovariate(self.load.jobs_per_s * max_factor / 1_000)
+        self._schedule(self._now_ms + gap_ms, self._job_arrives)
+        current_factor = factor if from_ms <= self._now_ms < until_ms else 1.0
+        if rng.random() < current_factor / max_factor:
             self._add_job()
 
     def _add_job(self):
         rng = self._jobs_rng
         owner = rng.randrange(self.load.owners)
-        usual = math.log(ITEM_RUN_MS)
+        mean_log_ms = math.log(ITEM_RUN_MS)
         for _ in range(max(1, min(24, int(rng.gauss(10, 4))))):
-            work_ms = rng.lognormvariate(usual, ITEM_SPREAD)
+            work_ms = rng.lognormvariate(mean_log_ms, ITEM_SPREAD)
             item = _Item(int(self._now_ms) + DUE_MS, work_ms, owner)
             self._items.append(item)
             self._wait(item)
@@ -337,34 +343,41 @@
     def _wait(self, item):
         waiting = WaitingItem(item.due_ms, int(item.ran_ms), item)
         self._queues[item.owner].put(waiting)
-        if item.owner not in self._pumping:
-            self._pumping.add(item.owner)
-            self._at(self._now_ms + 1, self._pump, item.owner)
+        if item.owner not in self._dispatching:
+            self._dispatching.add(item.owner)
+            self._schedule(self._now_ms + 1, self._dispatch_next, item.owner)
 
-    def _pump(self, owner):
+    def _dispatch_next(self, owner):
         queue = self._queues[owner]
         now_ms = int(self._now_ms)
         waiting = queue.take(now_ms)
         if waiting is None:
-            self._pumping.discard(owner)
+            self._dispatching.discard(owner)
             return
-        name = f"item{next(self._numbers)}"
+        name = f"item{next(self._sequence)}"
         slack_ms = queue.slack_ms(waiting, now_ms)
-        ask = Ask(name, name, ("item",), Use.BATCH, 0, slack_ms)
-        for number in self._ordered()[:ASKED]:
-            if self._tell(self._keepers[number], ask) is Verdict.GRANTED:
+        ask = SlotRequest(name, name, ("item",), Use.BATCH, 0, slack_ms)
+        for number in self._ordered()[:MAX_ASKED]:
+            if (
+                self._request_slot(self._keepers[number], ask)
+                is SlotDecision.GRANTED
+            ):
                 self._start(waiting.work, number, name)
-                self._at(self._now_ms + ROUND_TRIP_MS, self._pump, owner)
+                self._schedule(
+                    self._now_ms + ROUND_TRIP_MS, self._dispatch_next, owner
+                )
                 return
         queue.put(waiting)
-        pause_ms = ASKED * ROUND_TRIP_MS / 2 + self._rng.uniform(*PAUSE_MS)
-        self._at(self._now_ms + pause_ms, self._pump, owner)
+        pause_ms = MAX_ASKED * ROUND_TRIP_MS / 2 + self._rng.uniform(
+            *RETRY_PAUSE_MS
+        )
+        self._schedule(self._now_ms + pause_ms, self._dispatch_next, owner)
 
     def _start(self, item, number, name):
-        item.began_ms = self._now_ms
+        item.started_ms = self._now_ms
         self._item_by_attempt[name] = item
-        left_ms = RESTART_MS + item.work_ms - item.ran_ms
-        self._at(self._now_ms + left_ms, self._done, number, name)
+        remaining_ms = RESTART_MS + item.work_ms - item.ran_ms
+        self._schedule(self._now_ms + remaining_ms, self._done, number, name)
 
     def _done(self, number, name):
         item = self._item_by_attempt.pop(name, None)
@@ -379,11 +392,11 @@
         if item is None:
             return
         self._revokes += 1
-        made_ms = max(0, self._now_ms - item.began_ms - RESTART_MS)
-        item.ran_ms = min(item.work_ms - 1, item.ran_ms + made_ms)
+        progress_ms = max(0, self._now_ms - item.started_ms - RESTART_MS)
+        item.ran_ms = min(item.work_ms - 1, item.ran_ms + progress_ms)
         self._wait(item)
 
-    def _lose(self, count):
+    def _lose_replicas(self, count):
         for number in range(count):
             self._away.add(number)
             for name in list(self._keepers[number].held):
--- a/dahliashunt/decisions/tracked.py
+++ b/dahliashunt/decisions/tracked.py
@@ -1,4 +1,4 @@
-"""One accepted request, and where it is."""
+"""An accepted request and its state."""
 
 from dataclasses import dataclass
 import enum
@@ -9,11 +9,11 @@
 from dahliashunt.errors import Ran
 from dahliashunt.ids import EndpointId
 
-__all__ = ["Phase", "Tracked"]
+__all__ = ["Phase", "TrackedRequest"]
 
 
 class Phase(enum.Enum):
-    """Where an accepted request is."""
+    """State of an accepted request."""
 
     WAITING = "waiting"
     SUSPECT = "suspect"
@@ -21,26 +21,27 @@
 
 
 @dataclass(slots=True, eq=False)
-class Tracked:
-    """One accepted request.
+class TrackedRequest:
+    """An accepted request and its accounting.
 
     Attributes
     ----------
-    cost, taken : float
-        Charged to its caller's share, and to its caller's hard limit.
+    cost, charged_tokens : float
+        Charges to its caller's share and to its caller's hard limit.
     tag : float or None
-        Its place among callers, given at its first wait or dispatch.
-    uncached, pending, pending_with : float
-        Uncached tokens of its prompt; the same while its first token is
-        awaited, else 0; the same with those that were ahead of it.
+        Position in the fair order, set at its first wait or dispatch.
+    uncached_tokens, prefill_tokens : float
+        Uncached prompt tokens; the same until the first token, then 0.
+    pending_at_dispatch : float
+        Pending prompt tokens of the endpoint at dispatch, own included.
     ran : Ran
-        What can be said of all its attempts so far.
+        Whether any of its attempts may have run.
     """
 
     request: OnlineRequest
     cost: float
     weight: float
-    taken: float = 0.0
+    charged_tokens: float = 0.0
     tag: float | None = None
     phase: Phase = Phase.WAITING
     waiting: Waiting | None = None
@@ -49,11 +50,11 @@
     sent_ms: int = 0
     alone: bool = False
     attempts: int = 0
-    overtaken: int = 0
+    times_overtaken: int = 0
     tokens: int = 0
-    uncached: float = 0.0
-    pending: float = 0.0
-    pending_with: float = 0.0
+    uncached_tokens: float = 0.0
+    prefill_tokens: float = 0.0
+    pending_at_dispatch: float = 0.0
     first_token: bool = False
     avoid: frozenset[EndpointId] = frozenset()
     ran: Ran = Ran.NO
--- a/dahliashunt/forwarding/__init__.py
+++ b/dahliashunt/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Forward callers' requests to replicas and relay what they answer."""
+"""Forward callers' requests to replicas and relay the responses."""
 
 from dahliashunt.lazy import lazy_names
 
@@ -9,7 +9,7 @@
     "Engine": "catalog",
     "IngressLimits": "catalog",
     "Replica": "replicas",
-    "ReplicaBook": "replicas",
+    "ReplicaRegistry": "replicas",
     "Route": "catalog",
     "RouteKind": "catalog",
     "Service": "catalog",
--- a/dahliashunt/forwarding/events.py
+++ b/dahliashunt/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Cut a stream of server-sent events into whole events.
+"""Split a stream of server-sent events into complete events.
 
 References
 ----------
@@ -9,26 +9,26 @@
 
 from dahliashunt.errors import EngineError
 
-__all__ = ["Event", "EventCutter", "EventOutOfOrder"]
+__all__ = ["Event", "EventOutOfOrder", "EventSplitter"]
 
 MAX_EVENT_BYTES = 1_048_576
-"""A longer event is taken for a broken stream."""
+"""Longest event; a longer one ends the attempt."""
 
 
 class EventOutOfOrder(EngineError):
-    """The events of a stream do not follow one another."""
+    """A stream's events are not consecutive, or one is too long."""
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event.
+    """One server-sent event.
 
     Attributes
     ----------
     number : int or None
-        Its id; None for a comment or an event without one.
+        Event id; None for a comment or an event without a numeric id.
     raw : bytes
-        As it came, with its blank line.
+        Bytes as received, with the closing blank line.
     """
 
     number: int | None
@@ -44,16 +44,15 @@
         return "\n".join(parts)
 
 
-class EventCutter:
-    r"""Collects bytes and returns the events that are whole.
+class EventSplitter:
+    r"""Buffers bytes and returns complete events.
 
-    Only whole events are passed on: a replica may stop in the middle of
-    one, and the replica that goes on sends that event again from its
-    start.
+    A replica may stop within an event; the replica that resumes the stream
+    sends that event again from its start.
 
     Examples
     --------
-    >>> cutter = EventCutter()
+    >>> cutter = EventSplitter()
     >>> cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda")[0].number
     1
     >>> cutter.rest
@@ -69,35 +68,35 @@
         Raises
         ------
         EventOutOfOrder
-            An event is longer than `MAX_EVENT_BYTES`.
+            An event exceeds `MAX_EVENT_BYTES`.
         """
         data = self.rest + data
         events = []
-        at = 0
+        offset = 0
         while True:
-            end, size = _blank_line(data, at)
+            end, size = _find_blank_line(data, offset)
             if end < 0:
                 break
-            raw = data[at : end + size]
-            events.append(Event(_number(raw), raw))
-            at = end + size
-        self.rest = data[at:]
+            raw = data[offset : end + size]
+            events.append(Event(_event_id(raw), raw))
+            offset = end + size
+        self.rest = data[offset:]
         if len(self.rest) > MAX_EVENT_BYTES:
-            raise EventOutOfOrder("an event has no end")
+            raise EventOutOfOrder(f"event exceeds {MAX_EVENT_BYTES} bytes")
         return events
 
 
-def _blank_line(data, at):
-    plain = data.find(b"\n\n", at)
+def _find_blank_line(data, offset):
+    lf_end = data.find(b"\n\n", offset)
     if b"\r" not in data:
-        return plain, 2
-    other = data.find(b"\r\n\r\n", at)
-    if other >= 0 and (plain < 0 or other < plain):
-        return other, 4
-    return plain, 2
+        return lf_end, 2
+    crlf_end = data.find(b"\r\n\r\n", offset)
+    if crlf_end >= 0 and (lf_end < 0 or crlf_end < lf_end):
+        return crlf_end, 4
+    return lf_end, 2
 
 
-def _number(raw):
+def _event_id(raw):
     for line in raw.splitlines():
         if line.startswith(b"id:"):
             text = line[3:].strip()
--- a/dahliashunt/forwarding/explain.py
+++ b/dahliashunt/forwarding/explain.py
@@ -1,45 +1,44 @@
-"""What a node would do with a request now, and why.
+"""Explain how a node would handle a request now.
 
-Read only and bounded: an answer costs one look-up, one ordering of the
-service's partners and a page of routes, whatever the configuration's size.
+Read-only; the cost does not grow with the size of the configuration.
 """
 
 from collections import Counter
 from dataclasses import dataclass
 
-from dahliashunt.decisions.return_time import TURNS
+from dahliashunt.decisions.retry_delay import RETRY_DELAY_HOLDS
 from dahliashunt.forwarding.catalog import BrokenRoute
 from dahliashunt.forwarding.catalog import Route
 from dahliashunt.forwarding.replica_view import ReplicaState
 
-__all__ = ["MOST_ROUTES", "Explainer"]
+__all__ = ["MAX_ROUTES", "Explainer"]
 
-MOST_ROUTES = 1_000
-"""Routes in one page: some milliseconds of a node's time."""
+MAX_ROUTES = 1_000
+"""Routes in one page."""
 
-MOST_CHANGES = 200
-"""Changed routes that are named; the others are counted."""
+MAX_CHANGES = 200
+"""Changed routes that are listed; others are only counted."""
 
-MOST_REPLICAS = 100
-"""Replicas that are described one by one; partners come first."""
+MAX_REPLICAS = 100
+"""Replicas that are listed, partners first."""
 
-MOST_PASSED_OVER = 20
+MAX_PASSED_OVER = 20
 
 
 @dataclass(frozen=True, slots=True)
-class _Outcome:
-    says: str
+class _ExpectedOutcome:
+    summary: str
     wait_ms: int | None = None
     retry_after_ms: tuple[int, int] | None = None
 
 
 class Explainer:
-    """Answers questions about one node's routes.
+    """Explains one node's routes to operators.
 
     Parameters
     ----------
     node : Node
-    places : Places
+    places : ReplicaSelector
     known : KnownReplicas
     """
 
@@ -49,21 +48,25 @@
         self._known = known
 
     def explain(self, host: str, path: str) -> dict:
-        """Return what would happen to a request for `path` at `host`."""
+        """Return the expected handling of a request for `path` at `host`."""
         node = self._node
         found = {"node": node.metrics.node_id, **self._version()}
         if node.catalog is None:
             return {**found, "route": None, "why": "no configuration is known"}
         matches = list(node.catalog.candidates(host, path))
         if not matches:
-            return {**found, "route": None, "why": self._why_none(host, path)}
+            return {
+                **found,
+                "route": None,
+                "why": self._no_match_reason(host, path),
+            }
         route, *others = matches
         found["why"] = (
             f"{route.prefix} is the longest prefix of the path at {host}"
         )
         found["passed_over"] = [
             {"name": each.name, "prefix": each.prefix, "why": "shorter"}
-            for each in others[:MOST_PASSED_OVER]
+            for each in others[:MAX_PASSED_OVER]
         ]
         if isinstance(route, BrokenRoute):
             found["route"] = {"name": route.name, "prefix": route.prefix}
@@ -79,7 +82,7 @@
     def _version(self):
         node = self._node
         now_ms = node.clock.now_ms()
-        heard_ms = node.config_heard()
+        heard_ms = node.config_read_ms()
         return {
             "version": node.catalog and node.catalog.revision,
             "in_force_ms": _age(now_ms, node.adopted_ms),
@@ -87,7 +90,7 @@
             "ready": node.ready,
         }
 
-    def _why_none(self, host, path):
+    def _no_match_reason(self, host, path):
         if not path.startswith("/"):
             return f"{path} is no path: it must begin with a slash"
         if host.lower() in self._node.catalog.hosts():
@@ -96,60 +99,64 @@
 
     def _service(self, route, name, weight):
         service = self._node.catalog.service_by_name.get(name)
-        keeps = self._node.keeps_slots(name) if service else False
+        with_agents = self._node.has_agents(name) if service else False
         replicas = self._known.views(name)
-        outcome = self._outcome(route, name, replicas, keeps)
+        outcome = self._outcome(route, name, replicas, with_agents)
         places = Counter(each.data_centre for each in replicas)
         usable = [r for r in replicas if r.state is ReplicaState.USABLE]
         return {
             "name": name,
             "weight": weight,
-            "has_agents": keeps,
+            "has_agents": with_agents,
             "replicas": len(replicas),
             "by_data_centre": dict(sorted(places.items())),
             "usable": len(usable),
-            "asked": [each.fields() for each in replicas[:MOST_REPLICAS]],
-            "now": outcome.says,
+            "asked": [each.fields() for each in replicas[:MAX_REPLICAS]],
+            "now": outcome.summary,
             "wait_ms": outcome.wait_ms,
             "retry_after_ms": outcome.retry_after_ms,
         }
 
-    def _outcome(self, route, service, replicas, keeps):
+    def _outcome(self, route, service, replicas, with_agents):
         if not replicas:
-            return _Outcome("refused: the service has no replica")
+            return _ExpectedOutcome("refused: the service has no replica")
         usable = [r for r in replicas if r.state is ReplicaState.USABLE]
-        if not keeps or not usable:
-            return _Outcome("sent to a replica without asking an agent", 0)
+        if not with_agents or not usable:
+            return _ExpectedOutcome(
+                "sent to a replica without asking an agent", 0
+            )
         if any(each.free > 0 for each in usable):
-            return _Outcome("taken at once", 0)
+            return _ExpectedOutcome("taken at once", 0)
         if any(each.batch > 0 for each in usable):
-            return _Outcome("taken at once, a batch item gives way", 0)
+            return _ExpectedOutcome("taken at once, a batch item gives way", 0)
         wait_ms = min(each.wait_ms for each in usable)
         if wait_ms <= route.objective_ms:
-            return _Outcome(f"waits about {wait_ms} ms for a slot", wait_ms)
+            return _ExpectedOutcome(
+                f"waits about {wait_ms} ms for a slot", wait_ms
+            )
         hold_ms = self._places.hold_ms(service)
-        least, most = (int(hold_ms * turn) for turn in TURNS)
-        return _Outcome(
+        least, most = (int(hold_ms * turn) for turn in RETRY_DELAY_HOLDS)
+        return _ExpectedOutcome(
             f"refused, with a Retry-After of {least} to {most} ms",
             wait_ms,
             (least, most),
         )
 
     def routes(self, after: int) -> dict:
-        """Return a page of routes from number `after` on."""
+        """Return a page of routes that starts at index `after`."""
         node = self._node
         found = {"node": node.metrics.node_id, **self._version()}
         if node.catalog is None:
             return {**found, "total": 0, "routes": [], "broken": []}
         routes = node.catalog.routes
-        page = routes[after : after + MOST_ROUTES]
+        page = routes[after : after + MAX_ROUTES]
         found["total"] = len(routes)
         found["next"] = after + len(page) if page else None
         found["routes"] = [route_fields(route) for route in page]
         if after == 0:
             found["broken"] = [
                 {"name": b.name, "prefix": b.prefix, "reason": b.reason}
-                for b in node.catalog.broken[:MOST_CHANGES]
+                for b in node.catalog.broken[:MAX_CHANGES]
             ]
             found["replicas_by_service"] = {
                 service.name: len(self._known.listed(service.name))
@@ -158,22 +165,22 @@
         return found
 
     def changes(self) -> dict:
-        """Return what the version in force changed of the one before."""
+        """Return the changes of the current version from the previous."""
         node = self._node
         found = {"node": node.metrics.node_id, **self._version()}
-        former = node.former
-        if node.catalog is None or former is None:
+        previous_catalog = node.previous_catalog
+        if node.catalog is None or previous_catalog is None:
             return {**found, "before": None, "counts": {}, "changes": []}
         now = {route.name: route for route in node.catalog.routes}
-        before = {route.name: route for route in former.routes}
+        before = {route.name: route for route in previous_catalog.routes}
         changes = [_change(before, now, name) for name in {**before, **now}]
         changes = [each for each in changes if each is not None]
         counts = Counter(each["change"] for each in changes)
         return {
             **found,
-            "before": former.revision,
+            "before": previous_catalog.revision,
             "counts": dict(counts),
-            "changes": changes[:MOST_CHANGES],
+            "changes": changes[:MAX_CHANGES],
         }
 
 
@@ -200,7 +207,7 @@
 
 
 def route_fields(route: Route) -> dict:
-    """Return a route as programs read it."""
+    """Return a route as a JSON object."""
     return {
         "name": route.name,
         "host": route.host,
--- a/dahliashunt/forwarding/explain_workspaces.py
+++ b/dahliashunt/forwarding/explain_workspaces.py
@@ -1,28 +1,27 @@
-"""What a node knows of workspaces, for operators.
+"""Describe the workspaces known to a node, for operators.
 
-Read only and bounded: a page of workspaces costs a few microseconds for each.
-No key is shown, only the first characters of its digest.
+Read-only and bounded. Keys are shown by the start of their digests only.
 """
 
 from collections import Counter
 
-__all__ = ["MOST_WORKSPACES", "WorkspaceExplainer"]
+__all__ = ["MAX_WORKSPACES", "WorkspaceExplainer"]
 
-MOST_WORKSPACES = 500
-"""Workspaces in one answer: those with most requests of late."""
+MAX_WORKSPACES = 500
+"""Workspaces in one response, those with the most recent requests first."""
 
-DIGEST_SHOWN = 4
-"""Bytes of a key's digest: enough to tell a workspace's keys apart."""
+DIGEST_SHOWN_BYTES = 4
+"""Bytes shown of a key's digest, to tell a workspace's keys apart."""
 
 
 class WorkspaceExplainer:
-    """Answers questions about workspaces at one node.
+    """Describes the workspaces known to one node.
 
     Parameters
     ----------
     node : Node
     view : JobView
-        Jobs, as this node knows them.
+        Jobs known to this node.
     """
 
     def __init__(self, node, view):
@@ -30,8 +29,8 @@
         self._view = view
 
     def workspaces(self) -> dict:
-        """Return the workspaces, those with most requests first."""
-        found = self._known()
+        """Return the workspaces, those with the most requests first."""
+        found = self._workspaces()
         rows = (
             [self._row(each) for each in found.by_id.values()] if found else []
         )
@@ -42,7 +41,7 @@
             **self._version(),
             "keys_wanted": found is not None,
             "total": len(rows),
-            "workspaces": rows[:MOST_WORKSPACES],
+            "workspaces": rows[:MAX_WORKSPACES],
             "broken": [
                 {"name": each.name, "reason": each.reason}
                 for each in (found.broken if found else ())
@@ -50,16 +49,20 @@
         }
 
     def explain(self, name: str) -> dict:
-        """Return all that is known of one workspace."""
-        found = self._known()
+        """Return the state of one workspace."""
+        found = self._workspaces()
         workspace = found.by_id.get(name) if found else None
         if workspace is None:
-            return {**self._version(), "workspace": None, "why": _why(found)}
+            return {
+                **self._version(),
+                "workspace": None,
+                "why": _unknown_reason(found),
+            }
         use = self._node.caps.view(workspace)
         return {
             **self._version(),
             "workspace": self._row(workspace),
-            "keys": [d[:DIGEST_SHOWN].hex() for d in workspace.digests],
+            "keys": [d[:DIGEST_SHOWN_BYTES].hex() for d in workspace.digests],
             "level": round(use.level, 2),
             "metered": use.metered,
             "entries": use.entries,
@@ -76,7 +79,7 @@
             "open_tokens_by_route": self._open_tokens(workspace),
         }
 
-    def _known(self):
+    def _workspaces(self):
         catalog = self._node.catalog
         return catalog.workspaces if catalog is not None else None
 
@@ -115,7 +118,7 @@
     return (-row["admitted"] - row["refused"], row["name"])
 
 
-def _why(found):
+def _unknown_reason(found):
     if found is None:
         return "callers need no keys by the version in force"
     return "the version in force has no such workspace"
--- a/dahliashunt/forwarding/forwarder.py
+++ b/dahliashunt/forwarding/forwarder.py
@@ -1,14 +1,14 @@
-"""Run one request: place, send, relay, repeat where that is allowed.
+"""Forward one request: reserve a replica, send, relay, retry if allowed.
 
-The states of an attempt, and what may follow:
+What may follow an attempt:
 
-- never sent, or refused by its replica as not run: any other replica, and
-  if there is none a refusal that truly says "not run";
-- sent and lost: another replica only if the request is repeatable and
-  its attempts are not used up, else "outcome unknown";
-- a stream that broke off after events: goes on at another replica from
-  the last whole event, within the same answer, else the answer is cut so
-  that it does not look whole.
+- not sent, or refused by its replica as not run: another replica; without
+  one, an error that says "not run";
+- sent and lost: another replica if the request is repeatable and attempts
+  are left, else "outcome unknown";
+- a stream that broke off after events: resumes at another replica after
+  the last complete event, within the same response; else the response is
+  truncated so that it can't look complete.
 """
 
 from dataclasses import dataclass
@@ -26,45 +26,43 @@
 from dahliashunt.forwarding.call_state import CallState
 from dahliashunt.forwarding.catalog import Route
 from dahliashunt.forwarding.catalog import RouteKind
-from dahliashunt.forwarding.losses import digest_of
+from dahliashunt.forwarding.losses import request_fingerprint
 from dahliashunt.forwarding.losses import SharedLosses
-from dahliashunt.forwarding.place import Want
-from dahliashunt.forwarding.placing import Places
-from dahliashunt.forwarding.ports import AnswerSink
 from dahliashunt.forwarding.ports import ReplicaDialect
+from dahliashunt.forwarding.ports import ResponseSink
+from dahliashunt.forwarding.replica_selector import ReplicaSelector
+from dahliashunt.forwarding.reservation import SlotRequirements
 from dahliashunt.metrics import Metrics
 from dahliashunt.ports import Clock
 
-__all__ = ["AnswerCut", "Forwarder"]
+__all__ = ["Forwarder", "ResponseTruncated"]
 
 START_MS = 40
-"""Time a placed request needs to its first event on an idle slot: connect,
-some 4 ms to read 350 tokens, 20 ms to the first event, and the way back.
-What is left of the objective before it may be waited."""
+"""Time from a slot to the first event on an idle replica; the rest of the
+objective may be spent waiting for the slot."""
 
 RESUME_WAIT_MS = 1_200
-"""A broken stream may wait so long for a slot elsewhere: callers leave
-after a pause of two seconds at least."""
+"""Longest wait of a lost request for a slot elsewhere; below the shortest
+pause after which callers leave."""
 
 LATE_WAIT_MS = 1_200
-"""What a request that can't be in time any more may wait for a slot: two
-turns of a full fleet, and well under the two seconds after which callers
-leave."""
+"""Longest wait for a slot past the objective; below the shortest pause
+after which callers leave."""
 
-NOT_SENT_TRIES = 6
-"""Replicas tried one after another that proved not to have run it."""
+MAX_NOT_RUN_ATTEMPTS = 6
+"""Attempts that may end as not run before the call is given up."""
 
 
-class AnswerCut(RequestError):
-    """An answer broke off after its start; it must not look whole."""
+class ResponseTruncated(RequestError):
+    """A response broke off after its start and must not look complete."""
 
 
 class Forwarder:
-    """Forwards calls; holds what all of them share.
+    """Forwards calls; holds the dependencies that all calls share.
 
     Parameters
     ----------
-    places : Places
+    places : ReplicaSelector
     pool : ConnectionPool
     dialect : ReplicaDialect
     suspicion : Suspicion
@@ -76,7 +74,7 @@
 
     def __init__(
         self,
-        places: Places,
+        places: ReplicaSelector,
         pool: ConnectionPool,
         dialect: ReplicaDialect,
         suspicion: Suspicion,
@@ -96,42 +94,42 @@
         self.waits = CallerWaits()
 
     async def serve(
-        self, call: Call, route: Route, keeps: bool, sink: AnswerSink
+        self, call: Call, route: Route, with_agents: bool, sink: ResponseSink
     ) -> None:
-        """Answer `call` into `sink`.
+        """Forward `call` and relay the response to `sink`.
 
-        Cancelling this ends the work at the replica at once.
+        Cancelling this stops the work at the replica at once.
 
         Raises
         ------
         RequestError
-            There is no answer; nothing was sent to `sink`.
-        AnswerCut
-            The answer broke off.
+            There is no response; nothing was sent to `sink`.
+        ResponseTruncated
+            The response broke off.
         """
-        await _Run(self, call, route, keeps, sink).serve()
+        await _ForwardedCall(self, call, route, with_agents, sink).serve()
 
 
 @dataclass(frozen=True, slots=True)
-class _Patience:
-    """How long a request may wait, and how long and still be in time."""
+class _WaitLimits:
+    """Longest wait for a slot, and longest that meets the objective."""
 
     wait_ms: int
     slack_ms: int
 
 
-_NO_PATIENCE = _Patience(0, 0)
+_NO_WAIT = _WaitLimits(0, 0)
 
 
-class _Run:
-    """One call on its way."""
+class _ForwardedCall:
+    """One call over all its attempts."""
 
-    def __init__(self, shared, call, route, keeps, sink):
-        self._shared = shared
-        self._clock = shared.clock
+    def __init__(self, forwarder, call, route, with_agents, sink):
+        self._forwarder = forwarder
+        self._clock = forwarder.clock
         self._call = call
         self._route = route
-        self._keeps = keeps
+        self._keeps = with_agents
         self._sink = sink
         budget_ms = route.timeout_ms
         if call.budget_ms is not None:
@@ -139,19 +137,19 @@
         self._state = CallState(
             call=call,
             route=route,
-            until_ms=call.arrived_ms + budget_ms,
+            deadline_ms=call.arrived_ms + budget_ms,
             last_event=call.last_event,
         )
-        self._waited_ms = shared.waits.waited_ms(
+        self._waited_ms = forwarder.waits.waited_ms(
             route.name, budget_ms, route.timeout_ms
         )
         self._service = route.service_for(call.request_id)
         self._rank = route.rank if call.rank is None else call.rank
         self._tried = set()
-        self._not_sent = 0
+        self._not_run_count = 0
         self._next_place = None
         self._placed_ms = 0
-        self._digest = digest_of(route.host, call)
+        self._digest = request_fingerprint(route.host, call)
 
     async def serve(self):
         try:
@@ -162,40 +160,42 @@
 
     async def _serve(self):
         while True:
-            self._refuse_convicted()
-            place, self._next_place = self._next_place, None
-            if place is None:
-                place = await self._place()
+            self._refuse_poison()
+            reservation, self._next_place = self._next_place, None
+            if reservation is None:
+                reservation = await self._place()
             self._placed_ms = self._age_ms()
             began_ms = self._clock.now_ms()
             try:
-                end = await self._attempt(place.replica)
+                end = await self._attempt(reservation.replica)
             finally:
-                place.release()
+                reservation.release()
             if end is AttemptEnd.SERVED:
-                self._shared.suspicion.served(place.replica.life)
-                self._shared.losses.served(self._digest)
-                self._note(
+                self._forwarder.suspicion.served(
+                    reservation.replica.incarnation
+                )
+                self._forwarder.losses.served(self._digest)
+                self._record(
                     "served",
-                    replica=place.replica.replica_id,
-                    data_centre=place.replica.data_centre,
-                    kept=bool(place.attempt_id),
+                    replica=reservation.replica.replica_id,
+                    data_centre=reservation.replica.data_centre,
+                    kept=bool(reservation.attempt_id),
                     placed_ms=self._placed_ms,
                     first_ms=self._state.first_ms,
                     total_ms=self._age_ms(),
                 )
                 return
-            self._judge(place.replica, end, began_ms)
-            if not self._may_go_on(end):
+            self._record_failure(reservation.replica, end, began_ms)
+            if not self._may_try_again(end):
                 await self._give_up(end)
                 return
 
-    def _refuse_convicted(self):
-        """End a request that was lost with each replica so far."""
-        if not self._shared.losses.is_convicted(self._digest):
+    def _refuse_poison(self):
+        """Refuse a request that was lost with each replica that ran it."""
+        if not self._forwarder.losses.is_quarantined(self._digest):
             return
-        self._note("convicted", digest=self._digest)
-        kind = AnswerCut if self._state.started else RequestError
+        self._record("convicted", digest=self._digest)
+        kind = ResponseTruncated if self._state.started else RequestError
         raise kind(
             ErrorKind.OUTCOME_UNKNOWN,
             "each replica that ran this request was lost",
@@ -205,47 +205,47 @@
     def _age_ms(self):
         return self._clock.now_ms() - self._call.arrived_ms
 
-    # Placing.
-
     async def _place(self):
         try:
-            return await self._find(self._patience(), self._tried)
+            return await self._find(self._wait_limits(), self._tried)
         except RequestError as error:
             self._refuse(error)
 
-    async def _find(self, patience, avoid):
+    async def _find(self, limits, avoid):
         affinity = self._call.shared_parts
-        want = Want(
+        requirements = SlotRequirements(
             service=self._service,
             use=Use.ONLINE,
             affinity=affinity[-1] if affinity else "",
-            wait_ms=patience.wait_ms,
-            slack_ms=patience.slack_ms,
+            wait_ms=limits.wait_ms,
+            slack_ms=limits.slack_ms,
             avoid=frozenset(avoid),
             on_revoke=lambda: None,
             rank=self._rank,
         )
-        return await self._shared.places.find(
-            want, self._call.request_id, self._keeps
+        return await self._forwarder.places.find(
+            requirements, self._call.request_id, self._keeps
         )
 
-    def _patience(self):
-        """Return how long this request may wait for a slot by now."""
-        left_ms = max(0, self._state.until_ms - self._clock.now_ms())
+    def _wait_limits(self):
+        """Return how long this request may still wait for a slot."""
+        left_ms = max(0, self._state.deadline_ms - self._clock.now_ms())
         if self._state.ran:
-            # It was taken on and lost: worth a wait, though late.
+            # A request that was run and lost may wait past its objective.
             wait_ms = min(RESUME_WAIT_MS, left_ms)
-            return _Patience(wait_ms, wait_ms)
+            return _WaitLimits(wait_ms, wait_ms)
         age_ms = self._waited_ms + self._age_ms()
         useful_ms = self._route.objective_ms - age_ms - START_MS
         slack_ms = max(0, min(useful_ms, left_ms))
-        return _Patience(min(slack_ms + LATE_WAIT_MS, left_ms), slack_ms)
+        return _WaitLimits(min(slack_ms + LATE_WAIT_MS, left_ms), slack_ms)
 
     def _refuse(self, error):
-        """Turn a missing place into the answer that is true by now."""
-        self._note("refused", reason=error.kind.value)
+        """Raise `error`, adapted to what has already run or been sent."""
+        self._record("refused", reason=error.kind.value)
         if self._state.started:
-            raise AnswerCut(error.kind, error.message, Ran.YES) from None
+            raise ResponseTruncated(
+                error.kind, error.message, Ran.YES
+            ) from None
         if self._state.ran:
             raise RequestError(
                 ErrorKind.ENDPOINT_LOST,
@@ -255,50 +255,54 @@
         raise error
 
     async def _attempt(self, replica):
-        async def has_elsewhere():
-            avoid = {*self._tried, replica.life}
+        async def reserve_elsewhere():
+            avoid = {*self._tried, replica.incarnation}
             try:
-                self._next_place = await self._find(_NO_PATIENCE, avoid)
+                self._next_place = await self._find(_NO_WAIT, avoid)
             except RequestError:
                 return False
             return True
 
         attempt = Attempt(
-            self._shared, self._state, self._sink, replica, has_elsewhere
+            self._forwarder,
+            self._state,
+            self._sink,
+            replica,
+            reserve_elsewhere,
         )
         return await attempt.run()
 
-    # After an attempt.
-
-    def _judge(self, replica, end, began_ms):
-        self._tried.add(replica.life)
+    def _record_failure(self, replica, end, began_ms):
+        self._tried.add(replica.incarnation)
         if end is AttemptEnd.LOST:
             request_id = self._call.request_id
-            self._shared.losses.lost(self._digest, request_id, began_ms)
+            self._forwarder.losses.lost(self._digest, request_id, began_ms)
         if end is not AttemptEnd.TIMED_OUT:
             now_ms = self._clock.now_ms()
-            self._shared.suspicion.failed(replica.life, now_ms)
-        self._note("attempt_ended", replica=replica.replica_id, end=end.value)
+            self._forwarder.suspicion.failed(replica.incarnation, now_ms)
+        self._record(
+            "attempt_ended", replica=replica.replica_id, end=end.value
+        )
 
-    def _may_go_on(self, end):
+    def _may_try_again(self, end):
         if (
             end is AttemptEnd.TIMED_OUT
-            or self._clock.now_ms() >= self._state.until_ms
+            or self._clock.now_ms() >= self._state.deadline_ms
         ):
             return False
         if end is AttemptEnd.NOT_RUN:
-            self._not_sent += 1
-            return self._not_sent < NOT_SENT_TRIES
+            self._not_run_count += 1
+            return self._not_run_count < MAX_NOT_RUN_ATTEMPTS
         is_stream = self._route.kind is RouteKind.STREAM
         if self._state.started and not is_stream:
-            # A second run's bytes must not follow a first one's.
+            # Bytes of two runs must not be mixed in one response.
             return False
-        return self._state.may_run_again
+        return self._state.may_retry
 
     async def _give_up(self, end):
-        self._note("gave_up", end=end.value)
+        self._record("gave_up", end=end.value)
         if self._state.started:
-            raise AnswerCut(
+            raise ResponseTruncated(
                 ErrorKind.ENDPOINT_LOST, "the answer broke off", Ran.YES
             )
         if self._state.held is not None:
@@ -322,18 +326,18 @@
 
     async def _send_held(self):
         held = self._state.held
-        headers = self._shared.dialect.relayed(held.head)
+        headers = self._forwarder.dialect.relayed_headers(held.head)
         await self._sink.start(held.head.status, headers, len(held.body))
         await self._sink.send(held.body)
         await self._sink.end()
 
-    def _note(self, event, **fields):
-        self._shared.metrics.count(event, kind=self._route.kind.value)
-        self._shared.log.info(
+    def _record(self, event, **fields):
+        self._forwarder.metrics.count(event, kind=self._route.kind.value)
+        self._forwarder.log.info(
             event,
             request_id=self._call.request_id,
             route=self._route.name,
             attempts=self._state.ran,
-            left_ms=self._state.until_ms - self._clock.now_ms(),
+            left_ms=self._state.deadline_ms - self._clock.now_ms(),
             **fields,
         )
--- a/dahliashunt/forwarding/known_replicas.py
+++ b/dahliashunt/forwarding/known_replicas.py
@@ -1,4 +1,4 @@
-"""What an entry knows of each replica, and in which order it asks them."""
+"""State of the replicas known to an entry, and their order of preference."""
 
 import random
 
@@ -10,37 +10,37 @@
 from dahliashunt.forwarding.replica_view import ReplicaState
 from dahliashunt.forwarding.replica_view import ReplicaView
 from dahliashunt.forwarding.replicas import Replica
-from dahliashunt.forwarding.replicas import ReplicaBook
+from dahliashunt.forwarding.replicas import ReplicaRegistry
 from dahliashunt.ports import Clock
 
 __all__ = ["KnownReplicas"]
 
 UNHEARD_AGE_MS = 3_600_000
-"""Age of what is known of a replica whose agent has said nothing."""
+"""Assumed age of the load of a replica whose agent was never heard of."""
 
 
 class KnownReplicas:
-    """Joins the list, agents' states, suspicion and own requests.
+    """Combines the list, agents' loads, suspicion and own requests.
 
     Parameters
     ----------
-    book : ReplicaBook
+    registry : ReplicaRegistry
     partners : Partners
-        Which replicas of a service are asked first.
+        Select the replicas of a service that are asked first.
     slots : SlotClient
     suspicion : Suspicion
     clock : Clock
     rng : random.Random
     data_centre : str
     agent_port : int
-        Where agents listen, on the machine of their replica.
+        Port of the agents on their replicas' hosts.
     is_connected : callable
-        Tells whether an idle connection to an address stands.
+        Given an address, returns whether an idle connection to it exists.
     """
 
     def __init__(
         self,
-        book: ReplicaBook,
+        registry: ReplicaRegistry,
         partners: Partners,
         slots: SlotClient,
         suspicion: Suspicion,
@@ -50,7 +50,7 @@
         agent_port: int,
         is_connected=lambda address: False,
     ):
-        self._book = book
+        self._registry = registry
         self._partners = partners
         self._slots = slots
         self._suspicion = suspicion
@@ -59,43 +59,43 @@
         self._data_centre = data_centre
         self._agent_port = agent_port
         self._is_connected = is_connected
-        self._own_by_life: dict[tuple, int] = {}
+        self._own_by_incarnation: dict[tuple, int] = {}
 
     def services(self):
         """Return the services that have replicas."""
-        return self._book.services()
+        return self._registry.services()
 
     def listed(self, service: str) -> tuple[Replica, ...]:
         """Return every usable replica of `service`."""
-        return self._book.of_service(service)
+        return self._registry.of_service(service)
 
     def partners(self, service: str) -> tuple[Replica, ...]:
         """Return the replicas that are asked first."""
         return self._partners.of_service(service)
 
-    def lives(self) -> set:
-        """Return the lives of all replicas that are listed."""
-        return {replica.life for replica in self._book.all()}
+    def incarnations(self) -> set:
+        """Return the incarnations of all listed replicas."""
+        return {replica.incarnation for replica in self._registry.all()}
 
     def agent(self, replica: Replica) -> tuple[str, int]:
-        """Return where the replica's agent listens."""
+        """Return the address of the replica's agent."""
         return (replica.host, self._agent_port)
 
     def load(self, replica: Replica):
-        """Return what its agent last said and when, or None."""
+        """Return the last load its agent reported, with time, or None."""
         return self._slots.known_by_address.get(self.agent(replica))
 
     def own(self, replica: Replica) -> int:
-        """Return how many requests of this entry it has."""
-        return self._own_by_life.get(replica.life, 0)
+        """Return the number of this entry's requests at the replica."""
+        return self._own_by_incarnation.get(replica.incarnation, 0)
 
     def count(self, replica: Replica, by: int) -> None:
-        """Add to the requests of this entry there."""
+        """Add `by` to the number of this entry's requests there."""
         count = self.own(replica) + by
         if count > 0:
-            self._own_by_life[replica.life] = count
+            self._own_by_incarnation[replica.incarnation] = count
         else:
-            self._own_by_life.pop(replica.life, None)
+            self._own_by_incarnation.pop(replica.incarnation, None)
 
     def ordered(self, replicas, affinity: str) -> list[Replica]:
         """Return `replicas`, best first."""
@@ -108,7 +108,7 @@
     def _candidate(self, replica, now_ms):
         own = self.own(replica)
         known = self.load(replica)
-        avoided = self._suspicion.is_avoided(replica.life, now_ms)
+        avoided = self._suspicion.is_avoided(replica.incarnation, now_ms)
         taken, batch, age_ms = own, 0, UNHEARD_AGE_MS
         if known is not None:
             taken = max(own, known.state.online + known.state.waiting)
@@ -122,17 +122,14 @@
             age_ms=age_ms,
             avoided=avoided,
             near=replica.data_centre == self._data_centre,
-            cold=self._book.is_cold(replica, now_ms),
+            cold=self._registry.is_cold(replica, now_ms),
             batch=batch,
-            unheard=self._slots.is_silent(self.agent(replica)),
+            agent_silent=self._slots.is_silent(self.agent(replica)),
             connected=self._is_connected(replica.address),
         )
 
     def views(self, service: str) -> list[ReplicaView]:
-        """Return what is known of a service's replicas.
-
-        Those that are asked first come first.
-        """
+        """Return views of a service's replicas, partners first."""
         partners = self.partners(service)
         ids = {replica.replica_id for replica in partners}
         others = [
@@ -164,11 +161,11 @@
     def _state(self, replica, load, now_ms):
         if load is not None and load.away:
             return ReplicaState.ABSENT
-        if self._suspicion.is_avoided(replica.life, now_ms):
+        if self._suspicion.is_avoided(replica.incarnation, now_ms):
             return ReplicaState.SUSPECTED
         if self._slots.is_silent(self.agent(replica)):
             return ReplicaState.AGENT_SILENT
-        if self._book.is_cold(replica, now_ms):
+        if self._registry.is_cold(replica, now_ms):
             return ReplicaState.COLD
         if load is None:
             return ReplicaState.UNHEARD
--- a/dahliashunt/forwarding/caps.py
+++ b/dahliashunt/forwarding/rate_limiter.py
@@ -1,4 +1,4 @@
-"""Holds workspaces to their limits on an entry: decisions put to work."""
+"""Enforce the workspaces' rate limits on an entry."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,14 +8,14 @@
 from dahliashunt.adapters.slots import SlotClient
 from dahliashunt.decisions.link_choice import choose_links
 from dahliashunt.decisions.link_choice import rendezvous_rank
-from dahliashunt.decisions.metered import METERS
-from dahliashunt.decisions.rate_limits import Asked
+from dahliashunt.decisions.metered import METERS_PER_WORKSPACE
+from dahliashunt.decisions.rate_limits import PendingVerdict
 from dahliashunt.decisions.rate_limits import RateLimit
 from dahliashunt.decisions.rate_limits import Refused
-from dahliashunt.decisions.rate_limits import UseView
+from dahliashunt.decisions.rate_limits import UsageView
 from dahliashunt.errors import ErrorKind
 from dahliashunt.errors import RequestError
-from dahliashunt.forwarding.replicas import ReplicaBook
+from dahliashunt.forwarding.replicas import ReplicaRegistry
 from dahliashunt.forwarding.workspaces import Workspace
 from dahliashunt.ids import RequestId
 from dahliashunt.ids import Revision
@@ -23,145 +23,151 @@
 from dahliashunt.metrics import Metrics
 from dahliashunt.ports import Clock
 
-__all__ = ["Caps", "Counts", "MeterChoice", "RecentCounts"]
+__all__ = ["DecisionCounts", "MeterSelector", "RateLimiter", "RecentDecisions"]
 
 TICK_MS = 25
-"""Between looks at questions without answer and untold counts."""
+"""Interval at which pending requests and unsent reports are checked."""
 
-MOST_METER_HOSTS = 64
-"""Agents that count at all: choosing among them takes some 60 us, and more
-would not share the load better, since each workspace has three."""
+MAX_METER_HOSTS = 64
+"""Limit on the hosts that are candidates for meters."""
 
-MOST_CHOSEN = 10_000
-"""Workspaces whose meters are remembered: a few MB."""
+MAX_CACHED_WORKSPACES = 10_000
+"""Workspaces whose meters are cached; bounds the memory."""
 
 POOL_NAME = "meters"
 
 WINDOW_MS = 5_000
-"""What operators are shown of each workspace's decisions."""
+"""Window of the decision counts that operators are shown."""
 
 
-class MeterChoice:
-    """Which agents count a workspace's requests.
+class MeterSelector:
+    """Selects the agents that count a workspace's requests.
 
-    Chosen by rendezvous among the machines of replicas that have agents, so
-    that all entries choose the same ones, and a replica's restart on its
-    machine changes nothing.
+    Uses rendezvous hashing over the hosts of replicas with agents, so that
+    all entries select the same ones and a replica's restart on its host
+    changes nothing.
 
     Parameters
     ----------
-    book : ReplicaBook
+    registry : ReplicaRegistry
     has_agents : callable
-        Tells whether a service's replicas have agents beside them.
+        Given a service's name, returns whether its replicas have agents.
     """
 
-    def __init__(self, book: ReplicaBook, has_agents: Callable[[str], bool]):
-        self._book = book
+    def __init__(
+        self, registry: ReplicaRegistry, has_agents: Callable[[str], bool]
+    ):
+        self._registry = registry
         self._has_agents = has_agents
         self._lists: tuple = ()
         self._hosts: frozenset[str] = frozenset()
-        self._chosen: dict[int, tuple[str, ...]] = {}
+        self._hosts_by_workspace: dict[int, tuple[str, ...]] = {}
 
-    def of_workspace(self, workspace: int) -> tuple[str, ...]:
-        """Return the hosts of a workspace's meters, most wanted first."""
+    def hosts_for(self, workspace: int) -> tuple[str, ...]:
+        """Return the hosts of a workspace's meters, in rendezvous order."""
         self._refresh()
-        chosen = self._chosen.get(workspace)
+        chosen = self._hosts_by_workspace.get(workspace)
         if chosen is None:
-            if len(self._chosen) >= MOST_CHOSEN:
-                self._chosen.clear()
+            if len(self._hosts_by_workspace) >= MAX_CACHED_WORKSPACES:
+                self._hosts_by_workspace.clear()
             ranked = sorted(
                 self._hosts,
                 key=lambda host: rendezvous_rank(str(workspace), host),
                 reverse=True,
             )
-            chosen = self._chosen[workspace] = tuple(ranked[:METERS])
+            chosen = self._hosts_by_workspace[workspace] = tuple(
+                ranked[:METERS_PER_WORKSPACE]
+            )
         return chosen
 
     def _refresh(self):
-        services = sorted(filter(self._has_agents, self._book.services()))
-        lists = tuple(self._book.of_service(name) for name in services)
-        if _same(lists, self._lists):
+        services = sorted(filter(self._has_agents, self._registry.services()))
+        lists = tuple(self._registry.of_service(name) for name in services)
+        if _all_identical(lists, self._lists):
             return
         self._lists = lists
         hosts = {replica.host for listed in lists for replica in listed}
-        pool = choose_links(POOL_NAME, hosts, MOST_METER_HOSTS)
+        pool = choose_links(POOL_NAME, hosts, MAX_METER_HOSTS)
         if pool != self._hosts:
             self._hosts = pool
-            self._chosen.clear()
+            self._hosts_by_workspace.clear()
 
 
 @dataclass(frozen=True, slots=True)
-class Counts:
-    """Requests of a workspace at one entry."""
+class DecisionCounts:
+    """Numbers of a workspace's requests decided at one entry."""
 
     admitted: int = 0
     refused: int = 0
 
 
-class RecentCounts:
-    """Decisions by workspace in the window that runs and the one before.
+class RecentDecisions:
+    """Decisions by workspace in the current and the previous window.
 
     Examples
     --------
-    >>> recent = RecentCounts()
+    >>> recent = RecentDecisions()
     >>> recent.note(0, "w", False)
     >>> recent.note(WINDOW_MS, "w", True)
     >>> recent.of(WINDOW_MS, "w")
-    Counts(admitted=1, refused=1)
+    DecisionCounts(admitted=1, refused=1)
     >>> recent.of(3 * WINDOW_MS, "w")
-    Counts(admitted=0, refused=0)
+    DecisionCounts(admitted=0, refused=0)
     """
 
     def __init__(self):
         self._window = 0
-        self._now: dict[WorkspaceId, Counts] = {}
-        self._before: dict[WorkspaceId, Counts] = {}
+        self._current: dict[WorkspaceId, DecisionCounts] = {}
+        self._previous: dict[WorkspaceId, DecisionCounts] = {}
 
     def note(self, now_ms: int, name: WorkspaceId, is_refused: bool) -> None:
         """Count one decision."""
-        self._turn(now_ms)
-        was = self._now.get(name, Counts())
-        self._now[name] = Counts(
+        self._roll_window(now_ms)
+        was = self._current.get(name, DecisionCounts())
+        self._current[name] = DecisionCounts(
             was.admitted + (not is_refused), was.refused + is_refused
         )
 
-    def of(self, now_ms: int, name: WorkspaceId) -> Counts:
+    def of(self, now_ms: int, name: WorkspaceId) -> DecisionCounts:
         """Return the counts of one workspace."""
-        self._turn(now_ms)
-        both = [w.get(name, Counts()) for w in (self._now, self._before)]
-        return Counts(
+        self._roll_window(now_ms)
+        both = [
+            w.get(name, DecisionCounts())
+            for w in (self._current, self._previous)
+        ]
+        return DecisionCounts(
             sum(each.admitted for each in both),
             sum(each.refused for each in both),
         )
 
-    def _turn(self, now_ms):
+    def _roll_window(self, now_ms):
         window = now_ms // WINDOW_MS
         if window != self._window:
             is_next = window == self._window + 1
-            self._before = self._now if is_next else {}
-            self._now, self._window = {}, window
+            self._previous = self._current if is_next else {}
+            self._current, self._window = {}, window
 
 
 @dataclass(frozen=True, slots=True)
-class _Question:
+class _PendingRequest:
     answer: asyncio.Future
     key: int
     limit: RateLimit
 
 
-class Caps:
-    """Lets requests in, or refuses them with the time to come back.
+class RateLimiter:
+    """Admits requests, or refuses them with a time to retry after.
 
     Parameters
     ----------
     policy : object
-        Of `CAPS`.
+        One of the policies in `RATE_LIMIT_POLICIES`.
     slots : SlotClient
-        Carries reports and readings.
+        Carries reports to the meters and their readings back.
     agent_port : int
     allowance : float
-        Requests beyond a burst that may come at once: what is told late
-        must not make a caller refused that is below its limit.
+        Requests that are admitted beyond the burst, so that late reports
+        do not refuse a workspace below its limit.
     clock : Clock
     metrics : Metrics
     log : structlog logger
@@ -184,34 +190,34 @@
         self._clock = clock
         self._metrics = metrics
         self._log = log
-        self._question_by_number: dict[int, _Question] = {}
-        self._wanted = asyncio.Event()
-        self._recent = RecentCounts()
-        slots.on_reading = self._heard
+        self._pending_by_number: dict[int, _PendingRequest] = {}
+        self._work_ready = asyncio.Event()
+        self._recent = RecentDecisions()
+        slots.on_reading = self._on_reading
 
     async def admit(
         self, workspace: Workspace, revision: Revision, request_id: RequestId
     ) -> None:
-        """Let one request of `workspace` in.
+        """Admit one request of `workspace`.
 
         Raises
         ------
         RequestError
-            The workspace is at its limit; nothing was run.
+            The workspace is at its limit; the request was not run.
         """
         limit = self._limit(workspace, revision)
         if limit is None:
             return
         key = _key(workspace.workspace_id)
         found = self._policy.take(self._clock.now_ms(), key, limit)
-        if isinstance(found, Asked):
+        if isinstance(found, PendingVerdict):
             answer = asyncio.get_running_loop().create_future()
-            question = _Question(answer, key, limit)
-            self._question_by_number[found.number] = question
-            self._flush()
+            pending_request = _PendingRequest(answer, key, limit)
+            self._pending_by_number[found.number] = pending_request
+            self._send_reports()
             found = await answer
         else:
-            self._flush()
+            self._send_reports()
         is_refused = isinstance(found, Refused)
         self._recent.note(
             self._clock.now_ms(), workspace.workspace_id, is_refused
@@ -236,20 +242,20 @@
         )
 
     def give_back(self, workspace: Workspace, revision: Revision) -> None:
-        """Take back a request that was let in and did not run."""
+        """Return the quota of an admitted request that did not run."""
         limit = self._limit(workspace, revision)
         if limit is not None:
             key = _key(workspace.workspace_id)
             self._policy.give_back(self._clock.now_ms(), key, limit)
-            self._flush()
+            self._send_reports()
 
-    def view(self, workspace: Workspace) -> UseView:
-        """Return a workspace's use as this entry sees it."""
+    def view(self, workspace: Workspace) -> UsageView:
+        """Return the workspace's use as known to this entry."""
         key = _key(workspace.workspace_id)
         return self._policy.view(self._clock.now_ms(), key)
 
-    def recent(self, workspace: Workspace) -> Counts:
-        """Return what was decided here in the last window or two."""
+    def recent(self, workspace: Workspace) -> DecisionCounts:
+        """Return the decisions in the current and the previous window."""
         return self._recent.of(self._clock.now_ms(), workspace.workspace_id)
 
     def _limit(self, workspace, revision):
@@ -258,46 +264,48 @@
         room = max(1.0, workspace.burst + self._allowance)
         return RateLimit(workspace.rate, room, revision)
 
-    def _heard(self, host, reading):
+    def _on_reading(self, host, reading):
         now_ms = self._clock.now_ms()
         self._settle(self._policy.heard(now_ms, host, reading))
-        self._flush()
+        self._send_reports()
 
     def _settle(self, outcomes):
         for outcome in outcomes:
-            question = self._question_by_number.pop(outcome.number)
-            if not question.answer.done():
-                question.answer.set_result(outcome.verdict)
+            pending_request = self._pending_by_number.pop(outcome.number)
+            if not pending_request.answer.done():
+                pending_request.answer.set_result(outcome.verdict)
             elif not isinstance(outcome.verdict, Refused):
-                # The caller has left meanwhile.
+                # The caller has disconnected in the meantime.
                 self._policy.give_back(
-                    self._clock.now_ms(), question.key, question.limit
+                    self._clock.now_ms(),
+                    pending_request.key,
+                    pending_request.limit,
                 )
 
-    def _flush(self):
+    def _send_reports(self):
         for host, report in self._policy.outbox():
             self._slots.tell_use((host, self._agent_port), report)
-        if self._policy.is_waiting:
-            self._wanted.set()
+        if self._policy.needs_tick:
+            self._work_ready.set()
 
     async def run(self) -> None:
-        """Look after questions without answer, for ever."""
+        """Settle pending requests until cancelled."""
         while True:
-            await self._wanted.wait()
-            self._wanted.clear()
-            while self._policy.is_waiting:
+            await self._work_ready.wait()
+            self._work_ready.clear()
+            while self._policy.needs_tick:
                 await self._clock.sleep_ms(TICK_MS)
                 self._settle(self._policy.tick(self._clock.now_ms()))
-                self._flush()
+                self._send_reports()
 
 
-def _same(some, others):
+def _all_identical(some, others):
     return len(some) == len(others) and all(
         one is other for one, other in zip(some, others, strict=True)
     )
 
 
 def _key(workspace_id: WorkspaceId) -> int:
-    """Return a workspace's number on the wire, a digest of its name."""
+    """Return the digest that names a workspace on the wire."""
     digest = hashlib.blake2b(workspace_id.encode(), digest_size=8).digest()
     return int.from_bytes(digest, signed=True)
--- /dev/null
+++ b/dahliashunt/forwarding/replica_selector.py
@@ -0,0 +1,253 @@
+"""Select a replica with a free slot for a request."""
+
+import asyncio
+import random
+
+from dahliashunt.adapters.slots import SlotClient
+from dahliashunt.decisions.partners import sample_non_partners
+from dahliashunt.decisions.retry_delay import HoldTimes
+from dahliashunt.decisions.retry_delay import retry_delay_ms
+from dahliashunt.decisions.slot_messages import SlotDecision
+from dahliashunt.decisions.slot_messages import Use
+from dahliashunt.decisions.suspicion import Suspicion
+from dahliashunt.errors import ErrorKind
+from dahliashunt.errors import RequestError
+from dahliashunt.forwarding.known_replicas import KnownReplicas
+from dahliashunt.forwarding.reservation import Reservation
+from dahliashunt.forwarding.reservation import SlotRequirements
+from dahliashunt.forwarding.slot_requests import SlotRequester
+from dahliashunt.ports import Clock
+
+__all__ = ["ReplicaSelector"]
+
+MAX_ASKED = 6
+"""Partners' agents that are asked for a free slot before the request waits
+at one of them."""
+
+NO_REPLICA_RETRY_MS = 500
+"""Retry-After for a service without replicas; shorter than a heartbeat,
+after which new replicas are listed."""
+
+DIRECT_SLOT_DIVISOR = 4
+"""Divisor of a replica's slots that one entry may use while the agent is
+silent, since entries don't know of each other's requests there."""
+
+PROBE_MS = 100
+"""Interval between probes of silent agents and checks for new replicas."""
+
+NO_AGENTS_MS = 10_000
+"""Time without a message from any agent of a service after which it counts
+as having none; longer than agents need to start."""
+
+
+class ReplicaSelector:
+    """Selects replicas and requests slots from their agents.
+
+    Parameters
+    ----------
+    known : KnownReplicas
+    slots : SlotClient
+    suspicion : Suspicion
+    clock : Clock
+    rng : random.Random
+    """
+
+    def __init__(
+        self,
+        known: KnownReplicas,
+        slots: SlotClient,
+        suspicion: Suspicion,
+        clock: Clock,
+        rng: random.Random,
+    ):
+        self._known = known
+        self._slots = slots
+        self._suspicion = suspicion
+        self._clock = clock
+        self._rng = rng
+        self._slot_requester = SlotRequester(slots, known.agent)
+        self._holds = HoldTimes()
+        self._started_ms = clock.now_ms()
+        self._renewed: set[tuple[str, int]] = set()
+
+    async def find(
+        self,
+        requirements: SlotRequirements,
+        request_id: str,
+        with_agents: bool,
+    ) -> Reservation:
+        """Reserve a replica for `requirements`.
+
+        Parameters
+        ----------
+        requirements : SlotRequirements
+        request_id : str
+            Id under which the replica lists the request.
+        with_agents : bool
+            Whether the service's replicas have agents.
+
+        Raises
+        ------
+        RequestError
+            No replica is free; nothing was run by this call.
+        """
+        replicas = self._untried(requirements)
+        ordered = self._known.ordered(replicas, requirements.affinity)
+        if not with_agents:
+            return self._direct(ordered[0])
+        if self._has_no_agents(replicas):
+            return self._direct_within_slots(ordered, requirements)
+        chosen = self._with_outsiders(ordered, requirements)
+        replies = await self._slot_requester.request_slot(
+            chosen, requirements, request_id
+        )
+        now_ms = self._clock.now_ms()
+        for replica in replies.absent:
+            self._suspicion.failed(replica.incarnation, now_ms)
+        if replies.granted is not None:
+            return self._granted(replies.granted, replies.attempt)
+        return await self._fall_back(replies, requirements, request_id)
+
+    def _untried(self, requirements):
+        """Return the untried partners, or the other untried replicas."""
+        for listed in (
+            self._known.partners(requirements.service),
+            self._known.listed(requirements.service),
+        ):
+            untried = [
+                one
+                for one in listed
+                if one.incarnation not in requirements.avoid
+            ]
+            if untried:
+                return untried
+        raise RequestError(
+            ErrorKind.NO_ENDPOINT,
+            f"no replica of {requirements.service} is listed",
+            retry_after_ms=NO_REPLICA_RETRY_MS,
+        )
+
+    def _with_outsiders(self, ordered, requirements):
+        """Return the best partners, followed by some other replicas."""
+        listed = self._known.listed(requirements.service)
+        partners = self._known.partners(requirements.service)
+        if len(listed) <= len(partners):
+            return ordered[:MAX_ASKED]
+        ids = {replica.replica_id for replica in partners}
+        outsiders = [
+            replica
+            for replica in sample_non_partners(listed, ids, self._rng)
+            if replica.incarnation not in requirements.avoid
+        ]
+        return ordered[:MAX_ASKED] + outsiders
+
+    def _has_no_agents(self, replicas):
+        waited_ms = self._clock.now_ms() - self._started_ms
+        return waited_ms > NO_AGENTS_MS and not any(
+            self._known.load(replica) for replica in replicas
+        )
+
+    def _direct_within_slots(self, ordered, requirements):
+        """Reserve the first replica with fewer own requests than slots.
+
+        Batch items use half of the slots, since they can't be revoked.
+        """
+        for replica in ordered:
+            limit = replica.slots
+            if requirements.use is Use.BATCH:
+                limit = max(1, limit // 2)
+            if self._known.own(replica) < limit:
+                return self._direct(replica)
+        raise RequestError(
+            ErrorKind.OVERLOADED,
+            f"this entry fills every slot of {requirements.service}",
+            retry_after_ms=self._retry_delay_ms(requirements.service, 0),
+        )
+
+    async def _fall_back(self, replies, requirements, request_id):
+        """Reserve a replica whose agent is silent, or wait for a slot."""
+        full = replies.full
+        for replica in replies.unanswered:
+            limit = max(1, replica.slots // DIRECT_SLOT_DIVISOR)
+            if requirements.use is Use.BATCH:
+                # A batch item there could not be revoked.
+                limit = 0 if full else 1
+            if self._known.own(replica) < limit:
+                return self._direct(replica)
+        full.sort(key=self._expected_wait_ms)
+        if full and requirements.wait_ms > 0:
+            replica = full[0]
+            attempt = self._slot_requester.attempt(requirements, request_id)
+            verdict = await self._slots.ask(
+                attempt, self._known.agent(replica), requirements.wait_ms
+            )
+            if verdict is SlotDecision.GRANTED:
+                return self._granted(replica, attempt)
+        wait_ms = min(map(self._expected_wait_ms, full), default=0)
+        raise RequestError(
+            ErrorKind.OVERLOADED,
+            f"every slot of {requirements.service} is taken",
+            retry_after_ms=self._retry_delay_ms(requirements.service, wait_ms),
+        )
+
+    def _retry_delay_ms(self, service, wait_ms):
+        hold_ms = self._holds.mean_ms(service)
+        return retry_delay_ms(hold_ms, wait_ms, self._rng)
+
+    def _expected_wait_ms(self, replica):
+        known = self._known.load(replica)
+        return known.state.wait_ms if known is not None else 0
+
+    def _granted(self, replica, attempt):
+        self._known.count(replica, 1)
+        since_ms = self._clock.now_ms()
+
+        def release():
+            self._known.count(replica, -1)
+            self._slots.release(attempt.attempt_id)
+            if attempt.use is Use.ONLINE:
+                held_ms = self._clock.now_ms() - since_ms
+                self._holds.ended(replica.service, held_ms)
+
+        return Reservation(replica, attempt.attempt_id, release)
+
+    def _direct(self, replica):
+        self._suspicion.probe(replica.incarnation, self._clock.now_ms())
+        self._known.count(replica, 1)
+
+        def release():
+            self._known.count(replica, -1)
+
+        return Reservation(replica, "", release)
+
+    def hold_ms(self, service: str) -> int:
+        """Return the mean time that online requests hold a slot here."""
+        return self._holds.mean_ms(service)
+
+    async def refresh_states(self, every_ms: int) -> None:
+        """Renew slots and update loads until cancelled."""
+        renewed_ms = -every_ms
+        while True:
+            now_ms = self._clock.now_ms()
+            if self._has_new_partners() or now_ms - renewed_ms >= every_ms:
+                self._renew()
+                renewed_ms = now_ms
+            self._slots.probe()
+            await asyncio.sleep(min(every_ms, PROBE_MS) / 1000)
+
+    def _has_new_partners(self):
+        """Return whether a partner's agent was not yet contacted."""
+        return not self._partner_agents() <= self._renewed
+
+    def _partner_agents(self):
+        return {
+            self._known.agent(replica)
+            for service in self._known.services()
+            for replica in self._known.partners(service)
+        }
+
+    def _renew(self):
+        self._renewed = self._partner_agents()
+        self._slots.renew(self._renewed)
+        self._slots.forget_but(self._renewed)
+        self._suspicion.keep_only(self._known.incarnations())
--- /dev/null
+++ b/dahliashunt/forwarding/slot_requests.py
@@ -0,0 +1,119 @@
+"""Request a slot from agents with hedged requests until one grants it."""
+
+import asyncio
+from dataclasses import dataclass
+from dataclasses import field
+import itertools
+
+from dahliashunt.adapters.slots import SlotAttempt
+from dahliashunt.adapters.slots import SlotClient
+from dahliashunt.decisions.slot_messages import SlotDecision
+from dahliashunt.forwarding.replicas import Replica
+
+__all__ = ["SlotReplies", "SlotRequester"]
+
+HEDGE_DELAY_MS = 12
+"""Wait for an agent's reply before the next agent is asked as well."""
+
+
+@dataclass(slots=True)
+class SlotReplies:
+    """Replies of the agents that were asked for a slot.
+
+    Attributes
+    ----------
+    granted : Replica or None
+        Replica whose agent granted a slot to `attempt`.
+    attempt : Attempt or None
+    full, absent, unanswered : list of Replica
+        Replicas without a free slot, replicas that their agent reports as
+        absent, and replicas whose agent did not reply.
+    """
+
+    granted: Replica | None = None
+    attempt: SlotAttempt | None = None
+    full: list[Replica] = field(default_factory=list)
+    absent: list[Replica] = field(default_factory=list)
+    unanswered: list[Replica] = field(default_factory=list)
+
+
+class SlotRequester:
+    """Requests slots from agents on behalf of one entry.
+
+    Parameters
+    ----------
+    slots : SlotClient
+    agent_of : callable
+        Returns the address of a replica's agent.
+    """
+
+    def __init__(self, slots: SlotClient, agent_of):
+        self._slots = slots
+        self._agent_of = agent_of
+        self._numbers = itertools.count(1)
+
+    def attempt(self, requirements, run_id: str) -> SlotAttempt:
+        """Return a new slot attempt for the request `run_id`."""
+        return SlotAttempt(
+            attempt_id=f"{run_id}#{next(self._numbers)}",
+            run_id=run_id,
+            use=requirements.use,
+            slack_ms=requirements.slack_ms,
+            rank=requirements.rank,
+            on_revoke=requirements.on_revoke,
+        )
+
+    async def request_slot(
+        self, replicas, requirements, run_id: str
+    ) -> SlotReplies:
+        """Request a slot that is free now from the agents of `replicas`.
+
+        The first grant is used. Slots that other agents grant are released;
+        each agent is asked with an attempt id of its own.
+        """
+        replies = SlotReplies()
+        pending = {}
+        try:
+            for replica in replicas:
+                if self._slots.is_silent(self._agent_of(replica)):
+                    replies.unanswered.append(replica)
+                    continue
+                attempt = self.attempt(requirements, run_id)
+                task = asyncio.create_task(self._ask(replica, attempt))
+                pending[task] = (replica, attempt)
+                await self._collect(pending, replies, HEDGE_DELAY_MS / 1000)
+                if replies.granted is not None:
+                    return replies
+            while pending and replies.granted is None:
+                await self._collect(pending, replies, None)
+            return replies
+        finally:
+            self._give_back(pending)
+
+    async def _ask(self, replica, attempt):
+        return await self._slots.ask(attempt, self._agent_of(replica), 0)
+
+    async def _collect(self, pending, replies, limit_s):
+        """Wait up to `limit_s` for replies and record them."""
+        done, _ = await asyncio.wait(
+            pending, timeout=limit_s, return_when=asyncio.FIRST_COMPLETED
+        )
+        for task in done:
+            verdict = task.result()
+            if verdict is SlotDecision.GRANTED and replies.granted is not None:
+                # A second grant stays in `pending` and is released.
+                continue
+            replica, attempt = pending.pop(task)
+            if verdict is SlotDecision.GRANTED:
+                replies.granted, replies.attempt = replica, attempt
+            elif verdict is SlotDecision.FULL:
+                replies.full.append(replica)
+            elif verdict is SlotDecision.AWAY:
+                replies.absent.append(replica)
+            else:
+                replies.unanswered.append(replica)
+
+    def _give_back(self, pending):
+        for task, (_, attempt) in pending.items():
+            task.cancel()
+            self._slots.release(attempt.attempt_id)
--- a/dahliashunt/jobs/beats.py
+++ b/dahliashunt/jobs/beats.py
@@ -1,9 +1,9 @@
-"""Which nodes that own jobs are alive, from rows that they renew.
+"""Failure detection of job owners by heartbeat rows.
 
-An owner writes its row every period while it owns jobs. An observer takes
-it for gone only after it has seen the same row unchanged for the whole
-term on its own clock while the table answered; no clocks are compared. A
-row of another boot of the node means that the owner's life has ended.
+An owner renews its row every period while it owns jobs. An observer
+considers it gone once the row was unchanged for the timeout on the
+observer's own clock while the table was available; clocks of nodes are not
+compared. A row of another incarnation ends the former one at once.
 """
 
 from dataclasses import dataclass
@@ -19,29 +19,26 @@
 from dahliashunt.ports.table import MustBe
 from dahliashunt.ports.table import Write
 
-__all__ = ["BEAT_MS", "BeatReader", "BeatWriter", "period_ms"]
+__all__ = ["HEARTBEAT_MS", "BeatReader", "BeatWriter", "period_ms"]
 
-BEAT_MS = 1_000
-"""Between renewals. A job's results are due in some 18 s, of which finding
-a dead owner takes the term."""
+HEARTBEAT_MS = 1_000
+"""Shortest time between renewals of a heartbeat row."""
 
-TERM_MS = 3_500
-"""Unchanged for so long, an owner is gone: three renewals were missed."""
+SILENCE_TIMEOUT_MS = 3_500
+"""Time without a renewal, at the shortest period, until an owner is gone."""
 
-MS_A_NODE = 15
-"""Lengthens the period with the number of owners, so that their renewals
-together stay under 70 writes a second, of the 150 that a part takes, and
-the reads of all nodes under a fixed number of rows a second."""
+MS_PER_OWNER = 15
+"""Shortest period per owner: bounds the rate of all owners' renewals."""
 
-MOST_ROWS = 2_000
+MAX_ROWS = 2_000
 
-NO_BOOT = ""
-"""Stands in the row of a node that has left: no life of it owns jobs."""
+NO_INCARNATION = ""
+"""In the row of a node that has left: none of its incarnations owns jobs."""
 
 
 def period_ms(owners: int) -> int:
-    """Return the time between renewals with so many owners."""
-    return max(BEAT_MS, owners * MS_A_NODE)
+    """Return the time between renewals for a number of owners."""
+    return max(HEARTBEAT_MS, owners * MS_PER_OWNER)
 
 
 def _key(node_id):
@@ -49,7 +46,15 @@
 
 
 class BeatWriter:
-    """Renews this node's row."""
+    """Renews this node's heartbeat row.
+
+    Parameters
+    ----------
+    table : TableService
+    owner : Owner
+        This node.
+    log : structlog logger
+    """
 
     def __init__(self, table: TableService, owner: Owner, log):
         self._table = table
@@ -58,25 +63,25 @@
         self._count = 0
         self._version = None
 
-    async def beat(self) -> bool:
-        """Renew once; return whether the table took it."""
-        return await self._write(self._owner.boot)
+    async def renew_row(self) -> bool:
+        """Renew the row once; return whether the write succeeded."""
+        return await self._write(self._owner.incarnation)
 
     async def leave(self) -> bool:
-        """End this life for everybody; return whether the table took it.
+        """Mark this node as gone; return whether the write succeeded.
 
-        To be called once nothing runs here any more.
+        Call it only once no item runs here any more.
         """
-        return await self._write(NO_BOOT)
+        return await self._write(NO_INCARNATION)
 
-    async def _write(self, boot):
+    async def _write(self, incarnation):
         key = _key(self._owner.node_id)
         try:
             if self._version is None:
                 row = await self._table.read(key)
                 self._version = row.version if row else MustBe.ABSENT
             self._count += 1
-            value = json.dumps([boot, self._count])
+            value = json.dumps([incarnation, self._count])
             write = Write(key, value, self._version)
             (self._version,) = await self._table.transact((write,))
         except (
@@ -84,75 +89,90 @@
             TransactionConflict,
             WriteOutcomeUnknown,
         ) as error:
-            self._log.warning("beat_failed", reason=str(error))
+            self._log.warning("heartbeat_failed", reason=str(error))
             self._version = None
             return False
         return True
 
 
 @dataclass(slots=True)
-class _Seen:
+class _Observation:
     value: str
     since_ms: int
 
 
 class BeatReader:
-    """Watches other nodes' rows."""
+    """Watches the heartbeat rows of other nodes.
+
+    Parameters
+    ----------
+    table : TableService
+    own : Owner
+        This node.
+    clock : Clock
+    log : structlog logger
+
+    Attributes
+    ----------
+    owners : int
+        Number of rows at the last poll.
+    """
 
     def __init__(self, table: TableService, own: Owner, clock: Clock, log):
         self._table = table
         self._own = own
         self._clock = clock
         self._log = log
-        self._seen_by_node: dict[NodeId, _Seen] = {}
-        self._watched_ms_by_owner: dict[Owner, int] = {}
-        self._regained = True
+        self._observation_by_node: dict[NodeId, _Observation] = {}
+        self._watched_since_ms_by_owner: dict[Owner, int] = {}
+        self._restart_timeouts = True
         self.owners = 0
 
-    async def look(self, owners) -> None:
+    async def poll(self, owners) -> None:
         """Read all rows once; `owners` are those of open jobs.
 
-        An owner's term starts when it is first seen to own a job: its row
-        stood still before, since it had nothing to renew, and so did this
-        reader.
+        An owner's timeout starts when it is first seen to own a job, since
+        it doesn't renew its row without one.
         """
         try:
             rows = await self._table.read_range(
-                "beats//", "beats//~", MOST_ROWS
+                "beats//", "beats//~", MAX_ROWS
             )
         except PlatformUnavailable as error:
-            self._log.warning("beats_unread", reason=str(error))
-            self._regained = True
+            self._log.warning("heartbeat_read_failed", reason=str(error))
+            self._restart_timeouts = True
             return
         now_ms = self._clock.now_ms()
-        if self._regained:
-            # Owners could not renew either: every term starts again.
-            self._watched_ms_by_owner.clear()
-            self._regained = False
-        watched = self._watched_ms_by_owner
-        self._watched_ms_by_owner = {
+        if self._restart_timeouts:
+            # Owners couldn't renew during an outage: restart all timeouts.
+            self._watched_since_ms_by_owner.clear()
+            self._restart_timeouts = False
+        watched = self._watched_since_ms_by_owner
+        self._watched_since_ms_by_owner = {
             owner: watched.get(owner, now_ms) for owner in owners
         }
         for row in rows:
-            self._see(NodeId(row.key.removeprefix("beats//")), row, now_ms)
+            self._observe(NodeId(row.key.removeprefix("beats//")), row, now_ms)
         self.owners = len(rows)
 
-    def _see(self, node_id, row, now_ms):
-        seen = self._seen_by_node.get(node_id)
+    def _observe(self, node_id, row, now_ms):
+        seen = self._observation_by_node.get(node_id)
         if seen is None or seen.value != row.value:
-            self._seen_by_node[node_id] = _Seen(row.value, now_ms)
+            self._observation_by_node[node_id] = _Observation(
+                row.value, now_ms
+            )
 
     def is_gone(self, owner: Owner) -> bool:
-        """Tell whether that life of the node has surely ended."""
+        """Tell whether that incarnation of the node has ended."""
         if owner.node_id == self._own.node_id and owner != self._own:
             return True
-        since_ms = self._watched_ms_by_owner.get(owner)
-        if since_ms is None or self._regained:
+        since_ms = self._watched_since_ms_by_owner.get(owner)
+        if since_ms is None or self._restart_timeouts:
             return False
-        seen = self._seen_by_node.get(owner.node_id)
+        seen = self._observation_by_node.get(owner.node_id)
         if seen is not None:
-            if json.loads(seen.value)[0] != owner.boot:
+            if json.loads(seen.value)[0] != owner.incarnation:
                 return True
             since_ms = max(since_ms, seen.since_ms)
-        term_ms = TERM_MS * period_ms(self.owners) // BEAT_MS
+        term_ms = SILENCE_TIMEOUT_MS * period_ms(self.owners) // HEARTBEAT_MS
         return self._clock.now_ms() - since_ms > term_ms
